--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,171 +1,170 @@
-// Package quota holds the client accounts' limits over all nodes together.
+// Package quota enforces the limits of client accounts over all instances together.
 //
-// Each node runs the token bucket of the whole system: it takes off what it
-// admits at once, and what the others admitted when it learns of it. A level
-// below zero is a debt that time pays, so that what was admitted on stale updates is
-// made good. A node that is not seen is assumed to go on as before.
+// Each instance keeps the token bucket of the whole system: it subtracts what it admits itself
+// at once, and what the others admitted when it receives their updates. A level below zero is a
+// debt that is paid off as the bucket refills, which makes up for requests that were admitted on
+// stale updates. An instance that sends no updates is assumed to admit at the same rate as before.
 //
-// The package is pure; a Limiter belongs to one goroutine at a time.
+// The package does no I/O and reads no clock. A Limiter must be used by one goroutine at a time.
 package quota
 
 import (
 	"time"
 )
 
-// Limit is a client account's limit in units; a Rate of 0 is no limit.
+// Limit is a client account's limit in units. A Rate of 0 means no limit.
 type Limit struct {
-	Rate  float64 // units a second
-	Burst float64 // units above the rate
-	Alone float64 // units that a node may use before the others know, however many they are
+	Rate           float64 // units per second
+	Burst          float64 // size of the bucket in units
+	LocalAllowance float64 // units that one instance may use before the others know of it, whatever the number of instances
 }
 
-// Terms are by how much a window may go over a limit.
+// Tolerance is by how much the use within a window may exceed a limit.
 type Terms struct {
-	Over   float64       // share of the limit
-	Slack  float64       // units
-	Window time.Duration // over which use is judged
+	Over   float64       // as a share of the limit
+	Slack  float64       // in units, on top of that
+	Window time.Duration // over which use is measured
 }
 
-// Parts of the terms that are used to refuse nothing below a limit; the rest
-// covers what is admitted on stale updates.
+// Parts of the tolerance that raise the enforced limit, so that nothing below the configured
+// limit is refused. The rest covers what is admitted on stale updates.
 const (
-	overUsed      = 0.5
-	slackForRate  = 0.3
-	slackForBurst = 0.2
-	slackAlone    = 0.2 // what one node may use of it before the others know
+	ratioPart      = 0.5
+	slackRatePart  = 0.3
+	slackBurstPart = 0.2
+	slackLocalPart = 0.2 // what one instance may use before the others know of it
 )
 
-// Stretch returns the limit that is kept to.
+// EnforcedLimit returns the limit to enforce for a configured one.
 func (t Terms) Stretch(l Limit) Limit {
-	x := 1 + overUsed*t.Over
+	factor := 1 + ratioPart*t.Over
 	return Limit{
-		Rate:  x*l.Rate + slackForRate*t.Slack/max(t.Window, time.Second).Seconds(),
-		Burst: x*l.Burst + slackForBurst*t.Slack,
-		Alone: slackAlone * t.Slack,
+		Rate:           factor*l.Rate + slackRatePart*t.Slack/max(t.Window, time.Second).Seconds(),
+		Burst:          factor*l.Burst + slackBurstPart*t.Slack,
+		LocalAllowance: slackLocalPart * t.Slack,
 	}
 }
 
-// Verdict says whether a request is admitted.
+// Verdict is the decision whether a request is admitted.
 type Verdict struct {
 	OK      bool
-	Level   float64   // of the bucket, after the request; units
+	Level   float64   // of the bucket in units, after an admitted request
 	Need    float64   // level that a refused request would have needed; 0 if the level was high enough
-	Known   float64   // share of the nodes that the level counts the use of
-	RetryAt time.Time // when to come back
+	Known   float64   // share of the instances whose use is counted in the level; set for a refused request
+	RetryAt time.Time // when a refused request may be retried
 }
 
 const (
-	updateDue  = 600 * time.Millisecond // a node is seen more often than this
-	assumeMost = 10 * time.Second       // how long a silent node is assumed to go on
-	// keepForgotten is how long totals of a node are kept that is no member any more:
-	// longer than the store turns nodes away.
-	keepForgotten = time.Minute
-	rateWeight    = 0.3
-	leastRetry    = 50 * time.Millisecond
-	payShare      = 0.2 // of a request that the level has to cover: an account over its limit is refused large and small requests alike
+	updateTimeout    = 600 * time.Millisecond // instances send updates more often than this; one whose last update is older counts as silent
+	maxExtrapolation = 10 * time.Second       // how long a silent instance is assumed to admit at its last known rate
+	// departedRetention is how long the totals of an instance are kept that is no longer a member.
+	// It must be longer than an outage in which the store refuses instances.
+	departedRetention = time.Minute
+	rateSmoothing     = 0.3 // weight of the newest sample in the moving average of a rate
+	minRetryDelay     = 50 * time.Millisecond
+	minCoverage       = 0.2 // share of a request's units that the level has to cover; it is low so that an account over its limit is refused large and small requests alike
 )
 
-// Season is how long after its start a node knows the levels well.
+// WarmUp is the time that an instance needs after its start until its levels are reliable.
 const Season = 3 * time.Second
 
-// Update is what a node sends of itself.
+// Update is what an instance, or a hub for a group of instances, reports to the others.
 type Update struct {
 	Instance    string
-	Incarnation int64              // a restarted node has a higher one
-	Admitted    map[string]float64 // units by client account since it started
-	Levels      map[string]float64 // of its buckets
-	Seasoned    bool               // it has run for a Season
-	Stands      int                // for how many nodes it speaks; 0 counts as 1
+	Incarnation int64              // increases with each restart of the instance
+	Admitted    map[string]float64 // units admitted since its start, by client account
+	Levels      map[string]float64 // of its buckets, by client account
+	Seasoned    bool               // it has run for longer than WarmUp, so that Levels are reliable
+	Stands      int                // number of instances that the update covers; 0 counts as 1
 }
 
 type bucket struct {
-	level   float64
-	at      time.Time
-	adopted bool // the level was taken over from a node that knows it well
-	filled  bool // it is filled some times a second
+	level    float64
+	at       time.Time
+	adopted  bool // the level was taken over from an instance that has warmed up
+	periodic bool // it is refilled several times a second, so that a longer gap is a pause of this process
 }
 
-// fillMost is the longest time that a bucket is filled for at once. More has passed only if
-// this node stood still, and the others may have used it.
-const fillMost = time.Second
+// maxRefill bounds the time for which a bucket is refilled in one call. A longer gap means that
+// this process was paused, and the other instances may have used what was added meanwhile.
+const maxRefill = time.Second
 
-// fill brings the level up to now.
-func (b *bucket) fill(limit Limit, now time.Time) {
+// refill adds what the limit grants for the time since the last call.
+func (b *bucket) refill(limit Limit, now time.Time) {
 	passed := now.Sub(b.at)
-	if b.filled {
-		passed = min(passed, fillMost)
+	if b.periodic {
+		passed = min(passed, maxRefill)
 	}
 	b.level = min(limit.Burst, b.level+limit.Rate*passed.Seconds())
-	b.at, b.filled = now, true
+	b.at, b.periodic = now, true
 }
 
 type account struct {
-	bucket   bucket
-	admitted float64 // by this node since it started
-	fresh    float64 // admitted so shortly ago that the others don't know it
-	freshAt  time.Time
-	tightAt  time.Time // when the level was last too low for more than the even part
-	sample   sample    // of what is asked for, at a hub
+	bucket            bucket
+	admitted          float64 // units admitted by this instance since its start
+	unpropagated      float64 // units admitted so recently that the others do not know of them
+	unpropagatedSince time.Time
+	lastTight         time.Time // when the level was last below ampleLevel, or too low for a request
+	sample            sample    // of the requests that Confirm accepted, at a hub
 }
 
-// Use of units that the others may use at the same time.
+// Bounds for the units that an instance uses while the others may use the same ones.
 const (
-	propagation = 250 * time.Millisecond // until all nodes know what one admitted
-	freshShare  = 2.0                    // times its even part of the level that a node may use before
-	calmLevel   = 0.5                    // of the burst: above it an account is well within its limit,
-	calmAfter   = 6 * time.Second        // if it has been for so long: three times what updates of a large fleet take
+	propagationDelay = 250 * time.Millisecond // until all instances know what one admitted
+	evenShareFactor  = 2.0                    // multiple of an even share of the level that an instance may use within propagationDelay
+	ampleLevel       = 0.5                    // share of the burst; an account whose level stays above it is well within its limit
+	ampleAfter       = 6 * time.Second        // how long it has to stay there; three times what updates take in a large fleet
 )
 
-// mayUse reports whether a node may use so many units before the others know
-// of it. One request always may: else the largest would never be admitted. In a
-// large fleet the even part of a small account is less than two requests, and they
-// come in clumps: while the account is well within its limit, its part is as large
-// as limit.Alone at least.
-func (a *account) mayUse(units float64, limit Limit, nodes int, now time.Time) bool {
-	if now.Sub(a.freshAt) > propagation {
-		a.fresh, a.freshAt = 0, now
+// withinLocalShare reports whether this instance may use the units before the others know of it.
+// A single request always may, or the largest ones would never be admitted. In a large fleet the
+// even share of a small account is less than two requests, and requests come in bursts: while the
+// account is well within its limit, the share is at least limit.LocalAllowance.
+func (a *account) withinLocalShare(units float64, limit Limit, instances int, now time.Time) bool {
+	if now.Sub(a.unpropagatedSince) > propagationDelay {
+		a.unpropagated, a.unpropagatedSince = 0, now
 	}
-	level := a.bucket.level + a.fresh
-	spare := level - calmLevel*limit.Burst
+	level := a.bucket.level + a.unpropagated
+	spare := level - ampleLevel*limit.Burst
 	if spare < 0 {
-		a.tightAt = now
+		a.lastTight = now
 	}
-	even := freshShare / float64(max(1, nodes))
-	may := even * level
-	if now.Sub(a.tightAt) > calmAfter {
-		may += min(spare, max(0, limit.Alone-even*limit.Burst))
+	even := evenShareFactor / float64(max(1, instances))
+	allowed := even * level
+	if now.Sub(a.lastTight) > ampleAfter {
+		allowed += min(spare, max(0, limit.LocalAllowance-even*limit.Burst))
 	}
-	return a.fresh == 0 || a.fresh+units <= may
+	return a.unpropagated == 0 || a.unpropagated+units <= allowed
 }
 
-// far is what another node said of one client account.
-type far struct {
-	admitted float64
-	rate     float64 // units a second, of late
-	assumed  float64 // taken off without an update; settled by the next one
+// remoteUsage is the use of one client account at another instance.
+type remoteUsage struct {
+	admitted     float64 // units, as last reported
+	rate         float64 // units per second, moving average
+	extrapolated float64 // units subtracted since the last update for a silent instance; the next update replaces them
 }
 
 type instance struct {
-	incarnation int64
-	forgotten   bool // it is no member; its totals are kept in case it is one again
-	stands      int
-	seenAt      time.Time
-	accounts    map[string]*far
+	incarnation   int64
+	departed      bool // no longer a member; its totals are kept in case it comes back
+	instanceCount int  // number of instances that its updates cover
+	lastUpdate    time.Time
+	accounts      map[string]*remoteUsage
 }
 
-// Limiter counts the use of limits by client account.
+// Limiter decides which requests of client accounts this instance admits.
 type Limiter struct {
-	start        time.Time // from which empty buckets fill
-	accounts     map[string]*account
-	instances    map[string]*instance
-	count        int // of nodes that run, as far as is known
-	ticked       time.Time
-	since        time.Time        // first update of a node that knows the levels well
-	resumedAt    time.Time        // when this node last stood still for long; zero if it never did
-	resumeLimits map[string]Limit // that held then
+	start         time.Time // from which new buckets, initially empty, are refilled
+	accounts      map[string]*account
+	instances     map[string]*instance
+	instanceCount int // running instances, as far as this one knows
+	lastTick      time.Time
+	warmSince     time.Time        // first update of an instance that has warmed up
+	resumedAt     time.Time        // end of the last long pause of this process; zero if there was none
+	resumeLimits  map[string]Limit // limits in force at resumedAt
 }
 
-// New returns the limiter of a node that starts now.
+// New returns the limiter of an instance that starts now.
 func New(now time.Time) *Limiter {
 	return &Limiter{start: now, accounts: make(map[string]*account), instances: make(map[string]*instance)}
 }
@@ -179,94 +178,95 @@
 	return a
 }
 
-// Admit asks for a request of so many units.
+// Admit decides whether to admit a request of so many units, and if so counts it.
 func (l *Limiter) Admit(name string, limit Limit, units float64, now time.Time) Verdict {
 	return l.admit(name, limit, units, true, now)
 }
 
-// AdmitForHub asks for a request that a hub confirms before it is sent, so that this
-// node need not keep to its part of the limit. If no hub does, Alone has to be asked.
+// AdmitProvisionally is Admit for a request that a hub confirms before it is sent, so that this
+// instance need not keep to its share of the limit. If no hub answers, WithinLocalShare decides.
 func (l *Limiter) AdmitForHub(name string, limit Limit, units float64, now time.Time) Verdict {
 	return l.admit(name, limit, units, false, now)
 }
 
-// Alone asks whether a request that AdmitForHub admitted is within this node's part of
-// the limit, where no hub answers.
+// WithinLocalShare decides about a request that AdmitProvisionally admitted and that no hub
+// answers for: it is admitted if it is within this instance's share of the limit.
 func (l *Limiter) Alone(name string, limit Limit, units float64, now time.Time) Verdict {
 	a := l.account(name)
-	a.fresh -= units
-	defer func() { a.fresh += units }()
-	if limit.Rate > 0 && !a.mayUse(units, limit, l.count, now) {
-		return l.beyondPart(a.bucket.level, now)
+	a.unpropagated -= units
+	defer func() { a.unpropagated += units }()
+	if limit.Rate > 0 && !a.withinLocalShare(units, limit, l.instanceCount, now) {
+		return l.refuseOverLocalShare(a.bucket.level, now)
 	}
 	return Verdict{OK: true, Level: a.bucket.level}
 }
 
-func (l *Limiter) admit(name string, limit Limit, units float64, inPart bool, now time.Time) Verdict {
+func (l *Limiter) admit(name string, limit Limit, units float64, localOnly bool, now time.Time) Verdict {
 	a := l.account(name)
 	if limit.Rate <= 0 {
 		a.admitted += units
 		return Verdict{OK: true}
 	}
-	a.bucket.fill(limit.part(l.known()), now)
-	need := payShare * min(units, limit.Burst)
+	a.bucket.refill(limit.scaled(l.knownShare()), now)
+	need := minCoverage * min(units, limit.Burst)
 	if a.bucket.level < need {
-		a.tightAt = now
-		return l.beyondLimit(a.bucket.level, need, limit, now)
+		a.lastTight = now
+		return l.refuseOverLimit(a.bucket.level, need, limit, now)
 	}
-	may := a.mayUse(units, limit, l.count, now)
-	if inPart && !may {
-		return l.beyondPart(a.bucket.level, now)
+	within := a.withinLocalShare(units, limit, l.instanceCount, now)
+	if localOnly && !within {
+		return l.refuseOverLocalShare(a.bucket.level, now)
 	}
 	a.bucket.level -= units
 	a.admitted += units
-	a.fresh += units
+	a.unpropagated += units
 	return Verdict{OK: true, Level: a.bucket.level}
 }
 
-// beyondLimit refuses a request that needs a higher level: it is to come back when that
-// is reached.
-func (l *Limiter) beyondLimit(level, need float64, limit Limit, now time.Time) Verdict {
+// refuseOverLimit refuses a request that needs a higher level. It may be retried when the bucket
+// has refilled to that level.
+func (l *Limiter) refuseOverLimit(level, need float64, limit Limit, now time.Time) Verdict {
 	wait := time.Duration((need - level) / limit.Rate * float64(time.Second))
-	return Verdict{Level: level, Need: need, Known: l.known(), RetryAt: now.Add(max(wait, leastRetry))}
+	return Verdict{Level: level, Need: need, Known: l.knownShare(), RetryAt: now.Add(max(wait, minRetryDelay))}
 }
 
-// beyondPart refuses a request that is beyond this node's part of a limit: it is to come
-// back when the others know what this node admitted.
-func (l *Limiter) beyondPart(level float64, now time.Time) Verdict {
-	return Verdict{Level: level, Known: l.known(), RetryAt: now.Add(propagation)}
+// refuseOverLocalShare refuses a request that is beyond this instance's share of a limit. It may
+// be retried when the others know what this instance admitted.
+func (l *Limiter) refuseOverLocalShare(level float64, now time.Time) Verdict {
+	return Verdict{Level: level, Known: l.knownShare(), RetryAt: now.Add(propagationDelay)}
 }
 
-// part returns the part of a limit that may be used by nodes that know of each
-// other.
-func (l Limit) part(share float64) Limit {
+// scaled returns the limit with its rate multiplied by a share, for a group of instances that
+// know each other and are that share of all.
+func (l Limit) scaled(share float64) Limit {
 	l.Rate *= share
 	return l
 }
 
-// SetInstances tells how many nodes run, this one included.
-func (l *Limiter) SetInstances(count int) { l.count = count }
+// SetInstances sets the number of running instances, this one included.
+func (l *Limiter) SetInstances(count int) { l.instanceCount = count }
 
-// known is the share of the nodes that this one is or has seen. The others
-// admit their part unseen: after all were started anew, each knows only itself.
-func (l *Limiter) known() float64 {
+// knownShare returns the share of all instances that consists of this one and those it has updates
+// from. The use of the others is not visible here: after a restart of all instances, each knows
+// only itself.
+func (l *Limiter) knownShare() float64 {
 	known := 1
 	for _, n := range l.instances {
-		if !n.forgotten {
-			known += n.stands
+		if !n.departed {
+			known += n.instanceCount
 		}
 	}
-	return min(1, float64(known)/float64(max(1, l.count)))
+	return min(1, float64(known)/float64(max(1, l.instanceCount)))
 }
 
-// Return gives back the units of a request that did not run.
+// Refund gives back the units of an admitted request that did not run.
 func (l *Limiter) Return(name string, units float64) {
 	a := l.account(name)
 	a.bucket.level += units
 	a.admitted -= units
 }
 
-// Admitted returns the units that this node admitted since it started.
+// Admitted returns the units that this instance admitted since its start, by client account.
 func (l *Limiter) Admitted() map[string]float64 {
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
@@ -275,24 +275,25 @@
 	return out
 }
 
-// Fill brings the levels of all accounts up to now. An account that nobody asks for
-// here would else be filled at once for all the time that others used it in, and its
-// level be as high as if they had used it long ago. It is called some times a second.
+// Refill refills the buckets of all accounts up to now. It has to be called several times a
+// second. Otherwise the bucket of an account without requests at this instance would be refilled in
+// one step, after the use of the others was subtracted: a full bucket that they have just emptied
+// would come out full again.
 func (l *Limiter) Fill(limits map[string]Limit, now time.Time) {
-	share := l.known()
+	share := l.knownShare()
 	for name, a := range l.accounts {
 		if limit := limits[name]; limit.Rate > 0 {
-			a.bucket.fill(limit.part(share), now)
+			a.bucket.refill(limit.scaled(share), now)
 		} else {
-			a.bucket.filled = false
+			a.bucket.periodic = false
 		}
 	}
 }
 
-// Levels returns the levels of the buckets now, for a node that has just started.
-// Accounts without a limit have none.
+// Levels returns the current levels of the buckets, for an instance that has just started.
+// Accounts without a limit are left out.
 func (l *Limiter) Levels(limits map[string]Limit, now time.Time) map[string]float64 {
-	// News of the others come off at once; what time adds has to be added as well.
+	// Updates are subtracted at once, so that what time adds has to be added here as well.
 	l.Fill(limits, now)
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
@@ -303,50 +304,50 @@
 	return out
 }
 
-// Apply takes the update of another node.
-func (l *Limiter) Apply(news Update, now time.Time) {
-	n, known := l.instances[news.Instance]
-	if known && n.incarnation != news.Incarnation {
-		l.Forget(news.Instance) // settles what it was assumed to admit while it was down
+// Apply applies an update of another instance.
+func (l *Limiter) Apply(update Update, now time.Time) {
+	n, known := l.instances[update.Instance]
+	if known && n.incarnation != update.Incarnation {
+		l.Forget(update.Instance) // gives back what was extrapolated while it was down
 	}
-	if !known || n.incarnation != news.Incarnation {
-		n = &instance{incarnation: news.Incarnation, accounts: make(map[string]*far)}
-		l.instances[news.Instance] = n
+	if !known || n.incarnation != update.Incarnation {
+		n = &instance{incarnation: update.Incarnation, accounts: make(map[string]*remoteUsage)}
+		l.instances[update.Instance] = n
 	}
-	n.stands = max(1, news.Stands)
-	since := now.Sub(n.seenAt).Seconds()
-	counts := 1.0 // share of what it admitted that the levels would still show
-	if n.forgotten {
-		n.forgotten, counts = false, min(1, assumeMost.Seconds()/since)
+	n.instanceCount = max(1, update.Stands)
+	since := now.Sub(n.lastUpdate).Seconds()
+	counts := 1.0 // share of what it admitted meanwhile that still affects the levels
+	if n.departed {
+		n.departed, counts = false, min(1, maxExtrapolation.Seconds()/since)
 	}
-	for name, total := range news.Admitted {
-		f := n.accounts[name]
-		if f == nil {
-			f = &far{}
+	for name, total := range update.Admitted {
+		u := n.accounts[name]
+		if u == nil {
+			u = &remoteUsage{}
 			if !known {
-				f.admitted = total // from before this node listened
+				u.admitted = total // admitted before this instance received updates
 			}
-			n.accounts[name] = f
+			n.accounts[name] = u
 		}
-		delta := total - f.admitted
-		f.admitted = total
-		if !n.seenAt.IsZero() && since > 0 {
-			f.rate += rateWeight * (delta/since - f.rate)
+		delta := total - u.admitted
+		u.admitted = total
+		if !n.lastUpdate.IsZero() && since > 0 {
+			u.rate += rateSmoothing * (delta/since - u.rate)
 		}
-		l.account(name).bucket.level -= counts*delta - f.assumed
-		f.assumed = 0
+		l.account(name).bucket.level -= counts*delta - u.extrapolated
+		u.extrapolated = 0
 	}
-	if news.Seasoned {
-		l.adopt(news.Levels, now)
+	if update.Seasoned {
+		l.adoptLevels(update.Levels, now)
 	}
-	n.seenAt = now
-	l.boundDebts(now)
+	n.lastUpdate = now
+	l.capDebts(now)
 }
 
-// boundDebts bounds debts by one burst while updates after a standstill may come from nodes
-// that stood still as well: they first pass on totals from before it, and then all that was
-// admitted since, which time has paid for.
-func (l *Limiter) boundDebts(now time.Time) {
+// capDebts bounds debts by one burst for WarmUp after a pause of this process. Updates may then
+// come from instances that were paused as well: these first report totals from before the pause,
+// and later all that was admitted since, for which the time of the pause has already paid.
+func (l *Limiter) capDebts(now time.Time) {
 	if l.resumedAt.IsZero() || now.Sub(l.resumedAt) > Season {
 		return
 	}
@@ -355,12 +356,13 @@
 	}
 }
 
-// adopt takes over levels that this node cannot know yet.
-func (l *Limiter) adopt(levels map[string]float64, now time.Time) {
-	if l.since.IsZero() {
-		l.since = now
+// adoptLevels takes over, once for each account, levels of an instance that has warmed up. It does
+// nothing later than WarmUp after the first such update: this instance then knows the levels itself.
+func (l *Limiter) adoptLevels(levels map[string]float64, now time.Time) {
+	if l.warmSince.IsZero() {
+		l.warmSince = now
 	}
-	if now.Sub(l.since) > Season {
+	if now.Sub(l.warmSince) > Season {
 		return
 	}
 	for name, level := range levels {
@@ -373,64 +375,65 @@
 	}
 }
 
-// Tick takes off what silent nodes are assumed to admit. It is called some
-// times a second.
+// Tick subtracts what silent instances are assumed to admit. It has to be called several times a
+// second.
 func (l *Limiter) Tick(now time.Time) {
-	since := now.Sub(l.ticked)
-	l.ticked = now
+	since := now.Sub(l.lastTick)
+	l.lastTick = now
 	for name, n := range l.instances {
-		silent := now.Sub(n.seenAt)
-		if n.forgotten && silent > keepForgotten {
+		silent := now.Sub(n.lastUpdate)
+		if n.departed && silent > departedRetention {
 			delete(l.instances, name)
 		}
-		if n.forgotten || silent < updateDue || silent > assumeMost {
+		if n.departed || silent < updateTimeout || silent > maxExtrapolation {
 			continue
 		}
-		for name, f := range n.accounts {
-			units := f.rate * min(since, silent).Seconds()
-			f.assumed += units
+		for name, u := range n.accounts {
+			units := u.rate * min(since, silent).Seconds()
+			u.extrapolated += units
 			l.account(name).bucket.level -= units
 		}
 	}
 }
 
-// Resume takes note that this node stood still for long. It begins with empty buckets, as at its
-// start: the others may have used whatever time has added, and after all stood still each
-// would use the whole of it. Of a debt one burst is kept: more is what the others admitted
-// from time that this bucket never got.
+// ResetAfterPause empties the buckets after a long pause of this process, as at its start: the
+// others may have used whatever was added meanwhile, and if all were paused, each of them would
+// use the whole of it. Of a debt at most one burst is kept: anything beyond is what the others
+// admitted for time that this bucket was never refilled for.
 func (l *Limiter) Resume(limits map[string]Limit, now time.Time) {
 	for _, a := range l.accounts {
-		a.bucket = bucket{level: min(0, a.bucket.level), at: now, filled: true}
-		a.fresh, a.tightAt = 0, now
+		a.bucket = bucket{level: min(0, a.bucket.level), at: now, periodic: true}
+		a.unpropagated, a.lastTight = 0, now
 	}
 	clear(l.instances)
-	l.start, l.since = now, time.Time{}
+	l.start, l.warmSince = now, time.Time{}
 	l.resumedAt, l.resumeLimits = now, limits
-	l.boundDebts(now)
+	l.capDebts(now)
 }
 
-// DropWhere drops those nodes for which over returns true, with all they reported: others
-// count what they admit. It is given when each was last seen.
-func (l *Limiter) DropWhere(over func(node string, heardAt time.Time) bool) {
+// DropInstances removes the instances for which drop returns true, with all they reported. It is
+// for those whose use is counted in the updates of others from now on. drop is called with the
+// time of the last update.
+func (l *Limiter) DropWhere(drop func(instance string, lastUpdate time.Time) bool) {
 	for name, n := range l.instances {
-		if over(name, n.seenAt) {
+		if drop(name, n.lastUpdate) {
 			l.Forget(name)
 			delete(l.instances, name)
 		}
 	}
 }
 
-// Forget notes that a node is no member any more. What it was assumed to have admitted is
-// given back. What it reported is kept for a while: it may only have been out of reach, and
-// what it admitted meanwhile must count when it is seen again.
+// MarkDeparted records that an instance is no longer a member. What was extrapolated for it is
+// given back. What it reported is kept for departedRetention: it may only have been unreachable,
+// and what it admitted meanwhile must count when it comes back.
 func (l *Limiter) Forget(name string) {
 	n := l.instances[name]
 	if n == nil {
 		return
 	}
-	n.forgotten = true
-	for name, f := range n.accounts {
-		l.account(name).bucket.level += f.assumed
-		f.assumed, f.rate = 0, 0
+	n.departed = true
+	for name, u := range n.accounts {
+		l.account(name).bucket.level += u.extrapolated
+		u.extrapolated, u.rate = 0, 0
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,46 +10,46 @@
 	"pgregory.net/rapid"
 )
 
-// The terms of the deployments that the users run: what is allowed in a window.
+// The tolerance of typical deployments, and the timing of the simulation.
 const (
-	testWindow = 8 * time.Second
-	testOver   = 0.1
-	testSlack  = 140_000
-	testStep   = 20 * time.Millisecond
-	testNews   = 200 * time.Millisecond
+	testWindow         = 8 * time.Second
+	testOver           = 0.1
+	testSlack          = 140_000
+	testStep           = 20 * time.Millisecond
+	testUpdateInterval = 200 * time.Millisecond
 )
 
-// fleet plays nodes that admit one client account's requests.
-type fleet struct {
-	limit    Limit
-	nodes    []*Limiter
-	started  []time.Time
-	back     []time.Time // when a killed node is back
-	now      time.Time
-	rnd      *rand.Rand
-	admitted []float64 // by step
-	refused  float64   // in all
-	news     time.Duration
-	hubs     int // so many of the nodes confirm what the others admit; 0 for none
+// cluster simulates instances that admit requests of one client account.
+type cluster struct {
+	limit          Limit
+	limiters       []*Limiter
+	started        []time.Time
+	back           []time.Time // when a killed instance starts again
+	now            time.Time
+	rnd            *rand.Rand
+	admitted       []float64 // units, by step
+	refused        float64   // units in all
+	updateInterval time.Duration
+	hubs           int // number of instances that confirm what the others admit; 0 for none
 }
 
-func newFleet(n int, limit Limit, seed uint64) *fleet {
-	f := &fleet{limit: limit, now: time.Unix(1000, 0), rnd: rand.New(rand.NewPCG(seed, 1)), news: testNews}
+func newCluster(n int, limit Limit, seed uint64) *cluster {
+	f := &cluster{limit: limit, now: time.Unix(1000, 0), rnd: rand.New(rand.NewPCG(seed, 1)), updateInterval: testUpdateInterval}
 	for range n {
-		f.nodes = append(f.nodes, New(f.now))
+		f.limiters = append(f.limiters, New(f.now))
 		f.started = append(f.started, f.now)
 		f.back = append(f.back, f.now)
 	}
 	return f
 }
 
-func (f *fleet) kill(i int, down time.Duration) {
-	f.nodes[i] = nil
+func (f *cluster) kill(i int, down time.Duration) {
+	f.limiters[i] = nil
 	f.back[i] = f.now.Add(down)
 }
 
-// step plays a moment in which so many units a second are asked for.
-func (f *fleet) step(demand float64) {
+// step simulates one testStep with the given demand in units per second.
+func (f *cluster) step(demand float64) {
 	f.now = f.now.Add(testStep)
 	sum := 0.0
 	for asked := demand * testStep.Seconds(); asked > 0; {
@@ -61,14 +61,14 @@
 		if asked < 0 && f.rnd.Float64() > (asked+units)/units {
 			break
 		}
-		sum += f.ask(f.rnd.IntN(len(f.nodes)), units)
+		sum += f.request(f.rnd.IntN(len(f.limiters)), units)
 	}
-	f.end(sum)
+	f.endStep(sum)
 }
 
-// ask asks one node for a request, and returns the units admitted.
-func (f *fleet) ask(node int, units float64) float64 {
-	l := f.nodes[node]
+// request sends a request to one instance, and returns the units admitted.
+func (f *cluster) request(instance int, units float64) float64 {
+	l := f.limiters[instance]
 	if l == nil {
 		return 0
 	}
@@ -76,7 +76,7 @@
 		f.refused += units
 		return 0
 	}
-	if f.hubs > 0 && !f.nodes[f.rnd.IntN(f.hubs)].Confirm("t", f.limits()["t"], units, 1/float64(f.hubs), f.now).OK {
+	if f.hubs > 0 && !f.limiters[f.rnd.IntN(f.hubs)].Confirm("t", f.limits()["t"], units, 1/float64(f.hubs), f.now).OK {
 		l.Return("t", units)
 		f.refused += units
 		return 0
@@ -84,23 +84,23 @@
 	return units
 }
 
-// end ends a step in which so many units were admitted.
-func (f *fleet) end(sum float64) {
+// endStep records the units admitted in a step, restarts killed instances and exchanges updates.
+func (f *cluster) endStep(sum float64) {
 	f.admitted = append(f.admitted, sum)
-	for i := range f.nodes {
-		if f.nodes[i] == nil && !f.now.Before(f.back[i]) {
-			f.nodes[i], f.started[i] = New(f.now), f.now
-			f.nodes[i].SetInstances(len(f.nodes))
+	for i := range f.limiters {
+		if f.limiters[i] == nil && !f.now.Before(f.back[i]) {
+			f.limiters[i], f.started[i] = New(f.now), f.now
+			f.limiters[i].SetInstances(len(f.limiters))
 		}
 	}
-	if f.now.Sub(time.Unix(1000, 0))%f.news == 0 {
+	if f.now.Sub(time.Unix(1000, 0))%f.updateInterval == 0 {
 		f.exchange()
 	}
 }
 
-func (f *fleet) exchange() {
-	for i, from := range f.nodes {
-		for j, to := range f.nodes {
+func (f *cluster) exchange() {
+	for i, from := range f.limiters {
+		for j, to := range f.limiters {
 			if i == j || from == nil || to == nil {
 				continue
 			}
@@ -110,21 +110,21 @@
 			}, f.now)
 		}
 	}
-	for _, l := range f.nodes {
+	for _, l := range f.limiters {
 		if l != nil {
-			l.SetInstances(len(f.nodes))
+			l.SetInstances(len(f.limiters))
 			l.Tick(f.now)
 		}
 	}
 }
 
-// limits returns the limit that is kept to, by client account.
-func (f *fleet) limits() map[string]Limit {
+// limits returns the enforced limits by client account.
+func (f *cluster) limits() map[string]Limit {
 	return map[string]Limit{"t": Terms{testOver, testSlack, testWindow}.Stretch(f.limit)}
 }
 
-// worst returns the most that was admitted in a window.
-func (f *fleet) worst() float64 {
+// worst returns the largest number of units admitted in a window.
+func (f *cluster) worst() float64 {
 	n := int(testWindow / testStep)
 	sum, most := 0.0, 0.0
 	for i, units := range f.admitted {
@@ -137,19 +137,19 @@
 	return most
 }
 
-func (f *fleet) allowed() float64 {
+func (f *cluster) allowed() float64 {
 	return (f.limit.Rate*testWindow.Seconds()+f.limit.Burst)*(1+testOver) + testSlack
 }
 
-// Three kills of all nodes within one window, while a client account asks for many times
-// its limit: what was admitted before is forgotten, and yet counts.
+// All instances are killed three times within one window, while a client account sends many times
+// its limit. What was admitted before a kill is lost from memory, but still counts in the window.
 func TestAllNodesKilledAgainAndAgain(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(20) {
-		f := newFleet(8, Limit{Rate: 80_000, Burst: 90_000}, seed)
+		f := newCluster(8, Limit{Rate: 80_000, Burst: 90_000}, seed)
 		for at := range 1000 {
 			if at == 450 || at == 600 || at == 750 {
-				for i := range f.nodes {
+				for i := range f.limiters {
 					f.kill(i, time.Second)
 				}
 			}
@@ -163,7 +163,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "nodes")
 		rate := rapid.Float64Range(50_000, 400_000).Draw(t, "rate")
-		f := newFleet(n, Limit{Rate: rate, Burst: 1.15 * rate}, rapid.Uint64().Draw(t, "seed"))
+		f := newCluster(n, Limit{Rate: rate, Burst: 1.15 * rate}, rapid.Uint64().Draw(t, "seed"))
 		kills := rapid.SliceOfN(rapid.IntRange(200, 900), 0, 12).Draw(t, "kills")
 		share := rapid.Float64Range(0.1, 1).Draw(t, "share")
 		for at := range 1000 {
@@ -171,7 +171,7 @@
 				if k != at {
 					continue
 				}
-				for i := range f.nodes {
+				for i := range f.limiters {
 					if f.rnd.Float64() < share {
 						f.kill(i, time.Second)
 					}
@@ -185,10 +185,10 @@
 	})
 }
 
-// What is below the limit is admitted, also after a node was started anew.
+// Requests below the limit are admitted, also after an instance was restarted.
 func TestNothingRefusedBelowTheLimit(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(8, Limit{Rate: 100_000, Burst: 120_000}, 7)
+	f := newCluster(8, Limit{Rate: 100_000, Burst: 120_000}, 7)
 	for range 150 {
 		f.step(0)
 	}
@@ -203,15 +203,15 @@
 	for _, units := range f.admitted[begin:] {
 		sum += units
 	}
-	is.True(sum > 0.94*0.6*f.limit.Rate*1000*testStep.Seconds()) // but for the seconds that a node is down
+	is.True(sum > 0.94*0.6*f.limit.Rate*1000*testStep.Seconds()) // except while an instance is down
 }
 
-// usedElsewhere returns a node whose only peer admits 500 units a second of an
-// account, after so many updates of it, and when the last one came.
-func usedElsewhere(news int) (*Limiter, time.Time) {
+// usedElsewhere returns the limiter of an instance after so many updates of its only peer, which
+// admits 500 units per second of an account, and the time of the last update.
+func usedElsewhere(updates int) (*Limiter, time.Time) {
 	now, admitted := time.Unix(1000, 0), 0.0
 	l := New(now)
-	for range news {
+	for range updates {
 		now = now.Add(100 * time.Millisecond)
 		admitted += 50
 		l.SetInstances(2)
@@ -221,8 +221,8 @@
 	return l, now
 }
 
-// A node that a client account comes to for the first time after others served it for
-// long has not run up a debt meanwhile.
+// An instance that gets its first request of a client account after others have served it for long
+// must not have accumulated a debt meanwhile.
 func TestFirstRequestAtANodeAfterLongUseElsewhere(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 1000, Burst: 1500}
@@ -230,9 +230,8 @@
 	is.True(l.Admit("t", limit, 800, now).OK) // half of the limit is in use
 }
 
-// A node that was given up and is seen again, as the network between them is back:
-// what it admitted meanwhile was never told. It counts, but for what is longer ago than
-// levels are judged by.
+// An instance comes back after a network partition in which it was marked departed. What it admitted
+// meanwhile was never reported. It counts, except for the part from before maxExtrapolation.
 func TestUnitsOfANodeThatReturnsCount(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]Limit{"t": {Rate: 100, Burst: 1500}}
@@ -250,20 +249,20 @@
 		_ = l.Levels(limits, now)
 		now = now.Add(time.Millisecond)
 		l.Tick(now)
-		is.Equal(l.known(), 0.5) // one of two
+		is.Equal(l.knownShare(), 0.5) // one of two
 		before := l.Levels(limits, now)["t"]
 		l.Apply(Update{Instance: "b", Incarnation: 1, Admitted: map[string]float64{"t": 2400}}, now)
 		is.Equal(before-l.Levels(limits, now)["t"], 1500-c.level)
-		is.Equal(l.known(), 1.0)
+		is.Equal(l.knownShare(), 1.0)
 	}
 }
 
-// A client account sends many times its limit for long: nodes that admit on stale updates
-// must not all use the same units.
+// A client account sends many times its limit for long: instances that admit on stale updates must
+// not all use the same units.
 func TestManyTimesTheLimitForLong(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(10) {
-		f := newFleet(9, Limit{Rate: 290_000, Burst: 330_000}, seed)
+		f := newCluster(9, Limit{Rate: 290_000, Burst: 330_000}, seed)
 		for range 1500 {
 			f.step(9 * f.limit.Rate)
 		}
@@ -271,15 +270,15 @@
 	}
 }
 
-// The largest requests are admitted as well, although one takes half of what a
-// client account may have at once.
+// The largest requests are admitted as well, although one takes half of the burst of the client
+// account.
 func TestTheLargestRequestsAreAdmitted(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(8, Limit{Rate: 80_000, Burst: 90_000}, 3)
+	f := newCluster(8, Limit{Rate: 80_000, Burst: 90_000}, 3)
 	large := 0
 	for at := range 1500 {
 		f.step(0.4 * f.limit.Rate)
-		l := f.nodes[at%len(f.nodes)]
+		l := f.limiters[at%len(f.limiters)]
 		if at%100 == 50 && l.Admit("t", f.limit, 50_000, f.now).OK {
 			large++
 		}
@@ -287,8 +286,8 @@
 	is.True(large >= 13)
 }
 
-// A node tells levels of client accounts that came to other nodes only: time has filled
-// them as it has filled its own.
+// An instance also reports levels of client accounts that send requests only to other instances,
+// with the refill since the last update included.
 func TestLevelsOfAccountsThatCameToOthers(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 1000, Burst: 1500}
@@ -297,15 +296,15 @@
 	is.True(level > 1000) // three seconds at half of the limit
 }
 
-// After a kill of all nodes of a large fleet, client accounts that come to a node seldom
-// are not refused once the nodes know each other.
+// After all instances of a large fleet were killed, client accounts that rarely send requests to an
+// instance are not refused once the instances know each other.
 func TestAllStartedAnewBelowTheLimit(t *testing.T) {
 	is := is.New(t)
-	const nodes = 60
-	f := newFleet(nodes, Limit{Rate: 100_000, Burst: 115_000}, 5)
+	const instances = 60
+	f := newCluster(instances, Limit{Rate: 100_000, Burst: 115_000}, 5)
 	for at := range 900 {
 		if at == 400 {
-			for i := range f.nodes {
+			for i := range f.limiters {
 				f.kill(i, time.Second)
 			}
 		}
@@ -317,11 +316,11 @@
 	is.Equal(f.refused, 0.0)
 }
 
-// Requests of a small client account come in clumps to single nodes of a large fleet. It
-// keeps to its limit, and nothing is refused.
+// Requests of a small client account come in bursts to single instances of a large fleet. The
+// account stays within its limit, and nothing is refused.
 func TestClumpsAtSingleNodesOfALargeFleet(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(60, Limit{Rate: 100_000, Burst: 115_000}, 11)
+	f := newCluster(60, Limit{Rate: 100_000, Burst: 115_000}, 11)
 	for range 150 {
 		f.step(0)
 	}
@@ -329,35 +328,35 @@
 		f.now = f.now.Add(testStep)
 		sum := 0.0
 		if at%12 == 0 {
-			node := f.rnd.IntN(len(f.nodes))
+			instance := f.rnd.IntN(len(f.limiters))
 			for range 3 {
-				sum += f.ask(node, 2000+4000*f.rnd.Float64())
+				sum += f.request(instance, 2000+4000*f.rnd.Float64())
 			}
 		}
-		f.end(sum)
+		f.endStep(sum)
 	}
 	is.Equal(f.refused, 0.0)
 }
 
-// A client account of a large fleet that used 0.4 of its limit sends seven times as
-// much for 11 s, while news take seconds.
+// A client account of a large fleet that used 0.4 of its limit sends seven times as much for 11 s,
+// while updates take seconds.
 func TestAnAccountOfALargeFleetTurnsHot(t *testing.T) {
 	const (
-		nodes   = 77
-		before  = 500 // steps
-		hot     = 550
-		after   = 400
-		usual   = 0.4
-		hotness = 7
+		instances  = 77
+		before     = 500 // steps
+		surgeSteps = 550
+		after      = 400
+		usual      = 0.4
+		surge      = 7
 	)
 	for seed := range uint64(4) {
 		for _, rate := range []float64{40_000, 100_000, 300_000, 700_000, 900_000} {
-			f := newFleet(nodes, Limit{Rate: rate, Burst: 1.15 * rate}, seed)
-			f.news = 1900 * time.Millisecond / testStep * testStep
-			for at := range before + hot + after {
+			f := newCluster(instances, Limit{Rate: rate, Burst: 1.15 * rate}, seed)
+			f.updateInterval = 1900 * time.Millisecond / testStep * testStep
+			for at := range before + surgeSteps + after {
 				demand := usual * rate
-				if at >= before && at < before+hot {
-					demand *= hotness
+				if at >= before && at < before+surgeSteps {
+					demand *= surge
 				}
 				f.step(demand)
 			}
@@ -368,7 +367,7 @@
 	}
 }
 
-// A refusal tells whether the account or only this node's part was used up.
+// A refusal says whether the limit of the account or only the share of this instance was exceeded.
 func TestARefusalNamesTheLimitItMet(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -392,42 +391,41 @@
 	is.Equal(v.Known, 0.01)
 }
 
-// hubFleet is a large fleet whose news take a second, as they do through hubs.
-func hubFleet(nodes int, rate float64, seed uint64) *fleet {
-	f := newFleet(nodes, Limit{Rate: rate, Burst: 1.15 * rate}, seed)
-	f.news = 900 * time.Millisecond / testStep * testStep
+// hubCluster returns a large fleet in which updates take a second, as they do through hubs.
+func hubCluster(instances int, rate float64, seed uint64) *cluster {
+	f := newCluster(instances, Limit{Rate: rate, Burst: 1.15 * rate}, seed)
+	f.updateInterval = 900 * time.Millisecond / testStep * testStep
 	f.hubs = 12
 	return f
 }
 
-// An account of a large fleet sends many times its usual. Each instance knows of it
-// from its own requests only, and they are few: hubs, which see more of them, keep the
-// limit.
+// An account of a large fleet sends many times its usual traffic. Each instance sees only its own
+// few requests of it; the hubs see more of them and must enforce the limit.
 func TestHubsKeepTheLimitOfAnAccountThatTurnsHot(t *testing.T) {
-	const nodes, before, hot, usual = 150, 400, 300, 0.5
-	for _, hotness := range []float64{4, 10} {
+	const instances, before, surgeSteps, usual = 150, 400, 300, 0.5
+	for _, surge := range []float64{4, 10} {
 		for _, rate := range []float64{40_000, 120_000, 400_000} {
-			f := hubFleet(nodes, rate, 3)
-			for at := range before + hot {
+			f := hubCluster(instances, rate, 3)
+			for at := range before + surgeSteps {
 				demand := usual * rate
 				if at >= before {
-					demand *= hotness
+					demand *= surge
 				}
 				f.step(demand)
 			}
 			share := f.worst() / f.allowed()
-			t.Logf("limit %.0f a second, %.0f times as hot: %.3f of what a window may have", rate, hotness, share)
+			t.Logf("limit %.0f a second, %.0f times the usual traffic: %.3f of what a window may have", rate, surge, share)
 			if share > 1 {
-				t.Error("the limit is broken")
+				t.Error("more was admitted than the limit allows")
 			}
 		}
 	}
 }
 
-// Hubs do not refuse what is below a limit, though single requests are large.
+// Hubs do not refuse requests below a limit, although single requests are large.
 func TestHubsRefuseNothingBelowALimit(t *testing.T) {
 	for _, rate := range []float64{60_000, 200_000} {
-		f := hubFleet(100, rate, 5)
+		f := hubCluster(100, rate, 5)
 		for range 600 {
 			f.step(0)
 		}
@@ -443,8 +441,8 @@
 	}
 }
 
-// All nodes stood still for so long that their buckets would be full, and learn of each other only
-// later.
+// All instances were paused for so long that their buckets would be full, and receive the updates of
+// each other only later.
 func TestNodesThatStoodStillBeginEmpty(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 40, Burst: 80}
@@ -454,35 +452,35 @@
 	is.True(l.Admit("north", limit, 1, now).OK)
 	now = now.Add(20 * time.Second)
 	l.Resume(map[string]Limit{"north": limit}, now)
-	is.True(!l.Admit("north", limit, 1, now).OK) // it does not know what the others admitted
-	is.Equal(l.Admitted()["north"], 1.0)         // others go on counting from there
+	is.True(!l.Admit("north", limit, 1, now).OK) // what the others admitted is not known here
+	is.Equal(l.Admitted()["north"], 1.0)         // others count further from this total
 	now = now.Add(time.Second)
 	is.True(l.Admit("north", limit, 1, now).OK)
 }
 
-// A node that stood still hears what the others admitted meanwhile, before it notices.
+// An instance that was paused applies what the others admitted meanwhile, before it detects the pause.
 func TestDebtAfterAStandstillIsBoundByOneBurst(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 40, Burst: 80}
 	now := time.Unix(1000, 0)
 	l := New(now.Add(-time.Minute))
 	l.SetInstances(2)
-	news := func(admitted float64) Update {
+	update := func(admitted float64) Update {
 		return Update{Instance: "n1", Incarnation: 1, Admitted: map[string]float64{"north": admitted}}
 	}
-	l.Apply(news(100), now)
+	l.Apply(update(100), now)
 	is.True(l.Admit("north", limit, 1, now).OK)
 	now = now.Add(20 * time.Second)
-	l.Apply(news(900), now)
+	l.Apply(update(900), now)
 	l.Resume(map[string]Limit{"north": limit}, now)
-	l.Apply(news(910), now.Add(200*time.Millisecond))
+	l.Apply(update(910), now.Add(200*time.Millisecond))
 	l.Fill(map[string]Limit{"north": limit}, now.Add(time.Second))
 	l.Fill(map[string]Limit{"north": limit}, now.Add(2*time.Second))
-	is.True(l.Admit("north", limit, 1, now.Add(3*time.Second)).OK) // a burst takes two to pay
+	is.True(l.Admit("north", limit, 1, now.Add(3*time.Second)).OK) // a debt of one burst is paid off in 2 s
 }
 
-// A node that stood still hears totals from before it first, of one that stood still as well, and
-// then what they are.
+// An instance that was paused first receives totals from before the pause, of a peer that was paused
+// as well, and then the current ones.
 func TestOldTotalsAfterAStandstillAreNoDebt(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]Limit{"north": {Rate: 40, Burst: 80}}
