--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Kind is what an answer says about the rate limit of its endpoint.
+// Kind is what an answer states about the rate limit of its endpoint.
 type Kind int
 
 // The kinds.
 const (
-	None    Kind = iota // the endpoint names no limit
-	Named               // it names one
-	Unknown             // the answer does not say: the limit known before holds
+	None    Kind = iota // the endpoint has no limit
+	Named               // the endpoint has the limit that the answer states
+	Unknown             // the answer does not say, or cannot be read: the previous limit stays in force
 )
 
 // Limit is the rate of requests that an endpoint accepts from all instances together.
 // The zero value is no limit.
 type Limit struct {
 	Kind Kind
-	Rate float64 // requests a second, if Kind is Named
+	Rate float64 // requests per second, if Kind is Limited
 }
 
-// Parse reads a limit in requests a second, written as a decimal number. Text that is no
-// such number is Unknown.
+// Parse parses a limit in requests per second, written as a decimal number. For any other text,
+// and for negative numbers, it returns Unknown.
 func Parse(text string) Limit {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	switch {
@@ -36,7 +36,7 @@
 	return Limit{Named, rate}
 }
 
-// looserThan reports whether l admits more requests than m. Both are None or Named.
+// looserThan reports whether l admits more requests than m. Neither may be Unknown.
 func (l Limit) looserThan(m Limit) bool {
 	if m.Kind == None {
 		return false
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -1,12 +1,10 @@
-// Package ratelimit keeps requests within the rate limits that endpoints name.
+// Package ratelimit keeps requests within the rate limits that endpoints state in their answers.
 //
-// A limit holds for all instances together. Time of day is cut into slots, and each slot
-// has as many grants as the limit bears. Rendezvous hashing over the live instances decides
-// who holds a grant, so that instances divide a limit without a message for each request.
-// Instances that disagree for a moment on the members or the time of day hold a few
-// grants twice or not at all.
-//
-// Table is safe for concurrent use.
+// A limit applies to all instances together. The time of day is divided into slots, and each slot
+// has as many grants as the limit allows requests. Rendezvous hashing over the live instances
+// decides which instance holds a grant, so that instances divide a limit without a message for
+// each request. While instances disagree on the members or the time of day, some grants are held
+// twice or not at all.
 package ratelimit
 
 import (
@@ -17,14 +15,14 @@
 	"time"
 )
 
-// ErrNoGrant says that this instance holds no grant of an endpoint's rate limit now.
-var ErrNoGrant = errors.New("the endpoint's rate limit has no grant for this instance now")
+// ErrNoGrant is returned while this instance holds no grant for an endpoint with a rate limit.
+var ErrNoGrant = errors.New("this instance has no grant left under the rate limit of the endpoint")
 
 // Options configure a Table.
 type Options struct {
 	Self      string                          // name of this instance
 	Instances func() []string                 // names of the live instances, in any order; Self may be missing. nil for Self alone
-	TimeOfDay func(now time.Time) time.Time   // roughly the same at all instances; nil for the moment itself
+	TimeOfDay func(now time.Time) time.Time   // time of day, roughly the same at all instances; nil to use now itself
 	Changed   func(endpoint string, c Change) // called for each change of a limit, without locks held; may be nil
 }
 
@@ -34,26 +32,27 @@
 	Own      bool // observed in an answer to this instance, not reported by another one
 }
 
-// Table holds the limits of endpoints, by the ids of their incarnations.
+// Table holds the limits of endpoints, by the ids of their incarnations. It is safe for concurrent
+// use.
 type Table struct {
-	options Options
-	named   atomic.Int64 // endpoints with a limit in force
+	options      Options
+	limitedCount atomic.Int64 // endpoints with a limit in force
 
 	mu      sync.Mutex
 	entries map[string]*entry // guarded by mu
 }
 
-// entry is what is known of one endpoint. One whose limit was lifted is kept for liftedFor, so
+// entry is the state of one endpoint. One whose limit was lifted is kept for liftedRetention, so
 // that an older report from another instance does not put the limit in force again.
 type entry struct {
-	limit  Limit     // None or Named
-	asOf   time.Time // the limit was in force then
+	limit  Limit     // never Unknown
+	asOf   time.Time // when the limit was known to be in force
 	own    bool      // observed in an answer to this instance
 	grants grants
 }
 
-// liftedFor is how long a lifted limit is remembered and reported.
-const liftedFor = 10 * time.Second
+// liftedRetention is how long a lifted limit is remembered and reported.
+const liftedRetention = 10 * time.Second
 
 // New returns a table without limits.
 func New(o Options) *Table {
@@ -66,66 +65,66 @@
 	return &Table{options: o, entries: make(map[string]*entry)}
 }
 
-// Observe takes what an answer says about the limit of its endpoint, with the times at which
-// the request was sent and the answer was read.
-func (t *Table) Observe(endpoint string, said Limit, sent, read time.Time) {
-	if said.Kind == Unknown || said.Kind == None && !t.Any() {
+// Observe applies the limit that an answer states for its endpoint. sent and read are the times at
+// which the request was sent and the answer was read.
+func (t *Table) Observe(endpoint string, stated Limit, sent, read time.Time) {
+	if stated.Kind == Unknown || stated.Kind == None && !t.Any() {
 		return
 	}
-	t.changed(endpoint, t.observe(endpoint, said, sent, read))
+	t.notifyChange(endpoint, t.observe(endpoint, stated, sent, read))
 }
 
-// observe is Observe for a limit that is known. A looser limit is as old as the request: the
-// answer may have been made before a stricter one that overtook it.
-func (t *Table) observe(endpoint string, said Limit, sent, read time.Time) Change {
+// observe implements Observe for a limit that is not Unknown. A looser limit is dated back to when
+// the request was sent: its answer may be older than one with a stricter limit that overtook it.
+func (t *Table) observe(endpoint string, stated Limit, sent, read time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[endpoint]
 	if e == nil {
 		e = &entry{}
 	}
-	asOf, looser := read, said.looserThan(e.limit)
+	asOf, looser := read, stated.looserThan(e.limit)
 	if looser {
 		asOf = sent
 	}
-	if said.Kind == None && !looser || asOf.Before(e.asOf) || looser && asOf.Equal(e.asOf) {
+	if stated.Kind == None && !looser || asOf.Before(e.asOf) || looser && asOf.Equal(e.asOf) {
 		return Change{}
 	}
-	c := Change{From: e.limit, To: said, Own: true}
+	c := Change{From: e.limit, To: stated, Own: true}
 	e.own = true
 	t.entries[endpoint] = e
-	t.set(e, said, asOf, read)
+	t.setLimit(e, stated, asOf, read)
 	return c
 }
 
-// set puts a limit in force. Under a stricter one, grants of the limit before are void.
-// t.mu is held.
-func (t *Table) set(e *entry, l Limit, asOf, now time.Time) {
+// setLimit puts a limit in force. If it is stricter than the previous one, grants that were made
+// under that are discarded. t.mu must be held.
+func (t *Table) setLimit(e *entry, l Limit, asOf, now time.Time) {
 	if e.limit.looserThan(l) {
-		e.grants = newGrants(slotAt(t.options.TimeOfDay(now)))
+		e.grants = emptyGrants(slotAt(t.options.TimeOfDay(now)))
 	}
 	if e.limit.Kind != l.Kind {
 		if l.Kind == Named {
-			t.named.Add(1)
+			t.limitedCount.Add(1)
 		} else {
-			t.named.Add(-1)
+			t.limitedCount.Add(-1)
 		}
 	}
 	e.limit, e.asOf = l, asOf
 }
 
-// changed reports a change, if it is one.
-func (t *Table) changed(endpoint string, c Change) {
+// notifyChange calls Options.OnChange if the limit changed.
+func (t *Table) notifyChange(endpoint string, c Change) {
 	if c.From != c.To && t.options.Changed != nil {
 		t.options.Changed(endpoint, c)
 	}
 }
 
-// Any reports whether any endpoint has a limit.
-func (t *Table) Any() bool { return t.named.Load() > 0 }
+// HasLimits reports whether any endpoint has a limit.
+func (t *Table) Any() bool { return t.limitedCount.Load() > 0 }
 
-// Exhausted returns the endpoints that have a limit of which this instance holds no grant now;
-// nil while no endpoint has a limit.
+// Exhausted returns the endpoints with a limit for which this instance holds no grant now. It
+// returns nil while no endpoint has a limit.
 func (t *Table) Exhausted(now time.Time) map[string]bool {
 	if !t.Any() {
 		return nil
@@ -134,7 +133,7 @@
 	defer t.mu.Unlock()
 	out := make(map[string]bool)
 	for id, e := range t.entries {
-		if e.limit.Kind == Named && !t.fill(id, e, now).any() {
+		if e.limit.Kind == Named && !t.refillGrants(id, e, now).available() {
 			out[id] = true
 		}
 	}
@@ -149,11 +148,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[endpoint]
-	return e == nil || e.limit.Kind != Named || t.fill(endpoint, e, now).any()
+	return e == nil || e.limit.Kind != Named || t.refillGrants(endpoint, e, now).available()
 }
 
-// Take uses a grant for a request that is sent now. It returns ErrNoGrant if the endpoint has
-// a limit and this instance holds none.
+// Take uses a grant for a request that is sent now. It returns ErrNoGrant if the endpoint has a
+// limit and this instance holds no grant for it.
 func (t *Table) Take(endpoint string, now time.Time) error {
 	if !t.Any() {
 		return nil
@@ -164,30 +163,30 @@
 	if e == nil || e.limit.Kind != Named {
 		return nil
 	}
-	if !t.fill(endpoint, e, now).take() {
+	if !t.refillGrants(endpoint, e, now).take() {
 		return ErrNoGrant
 	}
 	return nil
 }
 
-// fill adds the grants of the slots that have begun since the last call. t.mu is held.
-func (t *Table) fill(endpoint string, e *entry, now time.Time) *grants {
+// refillGrants adds the grants of the slots that have begun since the last call. t.mu must be held.
+func (t *Table) refillGrants(endpoint string, e *entry, now time.Time) *grants {
 	current := slotAt(t.options.TimeOfDay(now))
 	if current == e.grants.slot {
 		return &e.grants
 	}
 	names := t.options.Instances()
 	e.grants.advance(current, func(slot int64) int {
-		return Rendezvous(Slot{Endpoint: endpoint, Rate: e.limit.Rate, Index: slot}, t.options.Self, names)
+		return GrantsOf(Slot{Endpoint: endpoint, Rate: e.limit.Rate, Index: slot}, t.options.Self, names)
 	})
 	return &e.grants
 }
 
-// nextMost bounds how far ahead Next looks.
-const nextMost = 2 * time.Second
+// maxNextWait bounds how far ahead NextAllowed looks.
+const maxNextWait = 2 * time.Second
 
-// Next returns when this instance may next send a request to an endpoint, at the most
-// nextMost from now.
+// NextAllowed returns when this instance may next send a request to an endpoint, at most
+// maxNextWait from now.
 func (t *Table) Next(endpoint string, now time.Time) time.Time {
 	if t.Allows(endpoint, now) {
 		return now
@@ -202,21 +201,22 @@
 	names := t.options.Instances()
 	for slot := slotAt(wall) + 1; ; slot++ {
 		in := slotStart(slot).Sub(wall)
-		if in >= nextMost || Rendezvous(Slot{Endpoint: endpoint, Rate: e.limit.Rate, Index: slot}, t.options.Self, names) > 0 {
-			return now.Add(min(in, nextMost))
+		if in >= maxNextWait || GrantsOf(Slot{Endpoint: endpoint, Rate: e.limit.Rate, Index: slot}, t.options.Self, names) > 0 {
+			return now.Add(min(in, maxNextWait))
 		}
 	}
 }
 
-// Expire drops lifted limits after a while, and endpoints that are gone.
+// Expire removes limits that were lifted more than liftedRetention ago, and endpoints for which
+// listed returns false.
 func (t *Table) Expire(listed func(endpoint string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		if listed(id) && (e.limit.Kind == Named || now.Sub(e.asOf) < liftedFor) {
+		if listed(id) && (e.limit.Kind == Named || now.Sub(e.asOf) < liftedRetention) {
 			continue
 		}
-		t.set(e, Limit{}, e.asOf, now)
+		t.setLimit(e, Limit{}, e.asOf, now)
 		delete(t.entries, id)
 	}
 }
@@ -224,14 +224,14 @@
 // Report is what one instance reports to others about the limit of an endpoint.
 type Report struct {
 	Endpoint string
-	Limit    Limit         // None or Named
-	Age      time.Duration // since the limit was in force
+	Limit    Limit         // never Unknown
+	Age      time.Duration // since the limit was known to be in force
 }
 
 // maxReports bounds the reports in one message.
 const maxReports = 64
 
-// Reports returns what this instance observed itself, the newest first.
+// Reports returns the newest maxReports limits that this instance observed itself, newest first.
 func (t *Table) Reports(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -244,7 +244,8 @@
 	return Newest(out)
 }
 
-// Newest returns the newest report on each endpoint, at the most as many as fit into a message.
+// Newest returns the newest report on each endpoint, at most maxReports of them, newest first. It
+// sorts reports in place.
 func Newest(reports []Report) []Report {
 	slices.SortStableFunc(reports, func(a, b Report) int { return int(a.Age - b.Age) })
 	seen := make(map[string]bool, len(reports))
@@ -258,11 +259,11 @@
 	return out
 }
 
-// Apply takes the reports of another instance. The newest one on an endpoint holds.
+// Apply applies the reports of another instance. The newest observation of an endpoint takes effect.
 func (t *Table) Apply(reports []Report, now time.Time) {
 	for _, r := range reports {
 		if r.Limit.Kind != Unknown && r.Age >= 0 {
-			t.changed(r.Endpoint, t.apply(r, now))
+			t.notifyChange(r.Endpoint, t.apply(r, now))
 		}
 	}
 }
@@ -281,6 +282,6 @@
 	c := Change{From: e.limit, To: r.Limit}
 	e.own = e.own && c.From == c.To
 	t.entries[r.Endpoint] = e
-	t.set(e, r.Limit, asOf, now)
+	t.setLimit(e, r.Limit, asOf, now)
 	return c
 }
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func named(rate float64) Limit { return Limit{Named, rate} }
+func limited(rate float64) Limit { return Limit{Named, rate} }
 
 func (t *Table) limit(endpoint string) Limit {
 	t.mu.Lock()
@@ -38,17 +38,17 @@
 func TestALooserLimitIsAsOldAsItsRequest(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Self: "a"})
-	table.Observe("e", named(2), at(0), at(100))
-	table.Observe("e", Limit{}, at(50), at(200)) // may have been made before the limit was named
-	is.Equal(table.limit("e"), named(2))
-	table.Observe("e", named(5), at(90), at(210))
-	is.Equal(table.limit("e"), named(2))
-	table.Observe("e", named(1), at(90), at(220)) // stricter: at once
-	is.Equal(table.limit("e"), named(1))
+	table.Observe("e", limited(2), at(0), at(100))
+	table.Observe("e", Limit{}, at(50), at(200)) // may be older than the answer that stated the limit
+	is.Equal(table.limit("e"), limited(2))
+	table.Observe("e", limited(5), at(90), at(210))
+	is.Equal(table.limit("e"), limited(2))
+	table.Observe("e", limited(1), at(90), at(220)) // stricter: at once
+	is.Equal(table.limit("e"), limited(1))
 	table.Observe("e", Limit{Kind: Unknown}, at(300), at(310))
-	is.Equal(table.limit("e"), named(1))
-	table.Observe("e", named(5), at(300), at(310))
-	is.Equal(table.limit("e"), named(5))
+	is.Equal(table.limit("e"), limited(1))
+	table.Observe("e", limited(5), at(300), at(310))
+	is.Equal(table.limit("e"), limited(5))
 	table.Observe("e", Limit{}, at(320), at(330))
 	is.Equal(table.limit("e"), Limit{})
 }
@@ -56,22 +56,22 @@
 func TestAReportOlderThanALiftedLimitDoesNotRestoreIt(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Self: "a"})
-	table.Apply([]Report{{Endpoint: "e", Limit: named(2), Age: time.Second}}, at(2000))
+	table.Apply([]Report{{Endpoint: "e", Limit: limited(2), Age: time.Second}}, at(2000))
 	table.Observe("e", Limit{}, at(2100), at(2200))
-	table.Apply([]Report{{Endpoint: "e", Limit: named(2), Age: 1500 * time.Millisecond}}, at(2500))
+	table.Apply([]Report{{Endpoint: "e", Limit: limited(2), Age: 1500 * time.Millisecond}}, at(2500))
 	is.Equal(table.limit("e"), Limit{})
-	is.Equal(len(table.Reports(at(2500))), 1) // others are told that it was lifted
-	table.Expire(func(string) bool { return true }, at(2200).Add(liftedFor))
+	is.Equal(len(table.Reports(at(2500))), 1) // the others receive that it was lifted
+	table.Expire(func(string) bool { return true }, at(2200).Add(liftedRetention))
 	is.Equal(len(table.Reports(at(20_000))), 0)
 }
 
 func TestOnlyOwnObservationsAreReported(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Self: "a"})
-	table.Apply([]Report{{Endpoint: "e", Limit: named(2)}}, at(0))
+	table.Apply([]Report{{Endpoint: "e", Limit: limited(2)}}, at(0))
 	is.Equal(len(table.Reports(at(10))), 0)
-	table.Observe("e", named(2), at(20), at(30))
-	is.Equal(table.Reports(at(40)), []Report{{Endpoint: "e", Limit: named(2), Age: 10 * time.Millisecond}})
+	table.Observe("e", limited(2), at(20), at(30))
+	is.Equal(table.Reports(at(40)), []Report{{Endpoint: "e", Limit: limited(2), Age: 10 * time.Millisecond}})
 }
 
 func TestAChangeIsReportedOnce(t *testing.T) {
@@ -79,18 +79,18 @@
 	var changes []Change
 	table := New(Options{Self: "a", Changed: func(_ string, c Change) { changes = append(changes, c) }})
 	for ms := range 5 {
-		table.Observe("e", named(2), at(ms), at(ms+10))
+		table.Observe("e", limited(2), at(ms), at(ms+10))
 	}
-	table.Apply([]Report{{Endpoint: "e", Limit: named(1)}}, at(100))
+	table.Apply([]Report{{Endpoint: "e", Limit: limited(1)}}, at(100))
 	table.Expire(func(string) bool { return false }, at(200))
-	is.Equal(changes, []Change{{To: named(2), Own: true}, {From: named(2), To: named(1)}})
-	is.Equal(table.named.Load(), int64(0))
+	is.Equal(changes, []Change{{To: limited(2), Own: true}, {From: limited(2), To: limited(1)}})
+	is.Equal(table.limitedCount.Load(), int64(0))
 }
 
 func TestAnInstanceAloneUsesTheWholeLimit(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Self: "a"})
-	table.Observe("e", named(3), at(0), at(0))
+	table.Observe("e", limited(3), at(0), at(0))
 	sent := 0
 	for ms := 0; ms < 60_000; ms += 20 {
 		if table.Take("e", at(ms)) == nil {
@@ -104,21 +104,21 @@
 func TestGrantsOfALooserLimitAreVoidUnderAStricterOne(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Self: "a"})
-	table.Observe("e", named(40), at(0), at(0))
+	table.Observe("e", limited(40), at(0), at(0))
 	is.True(table.Allows("e", at(2000)))
-	table.Observe("e", named(0), at(2000), at(2010))
+	table.Observe("e", limited(0), at(2000), at(2010))
 	is.Equal(table.Take("e", at(2020)), ErrNoGrant)
 	table.Observe("e", Limit{}, at(2100), at(2110))
-	table.Observe("e", named(4), at(9000), at(9000))
-	is.Equal(table.Take("e", at(9000)), ErrNoGrant) // no grants of the time without a limit
+	table.Observe("e", limited(4), at(9000), at(9000))
+	is.Equal(table.Take("e", at(9000)), ErrNoGrant) // no grants for the time without a limit
 }
 
 func TestEndpointsWithoutAGrantAreExhausted(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Self: "a"})
 	is.Equal(table.Exhausted(at(0)), nil)
-	table.Observe("e", named(0), at(0), at(0))
-	table.Observe("f", named(100), at(0), at(0))
+	table.Observe("e", limited(0), at(0), at(0))
+	table.Observe("f", limited(100), at(0), at(0))
 	is.Equal(table.Exhausted(at(500)), map[string]bool{"e": true})
 	for table.Take("f", at(500)) == nil {
 		continue
@@ -130,25 +130,25 @@
 	is := is.New(t)
 	names := []string{"a", "b", "c"}
 	table := New(Options{Self: "a", Instances: func() []string { return names }})
-	table.Observe("e", named(1), at(0), at(0))
+	table.Observe("e", limited(1), at(0), at(0))
 	for ms := 0; ms < 30_000; ms += 50 {
 		for table.Take("e", at(ms)) == nil {
 			continue
 		}
 		next := table.Next("e", at(ms))
 		is.True(next.After(at(ms)))
-		is.True(next.Sub(at(ms)) == nextMost || Rendezvous(Slot{Endpoint: "e", Rate: 1, Index: slotAt(next)}, "a", names) > 0)
+		is.True(next.Sub(at(ms)) == maxNextWait || GrantsOf(Slot{Endpoint: "e", Rate: 1, Index: slotAt(next)}, "a", names) > 0)
 	}
 }
 
-// The bound of the platform: in any 4 s one and a half times the limit, and 5 more.
-const boundOver = 4 * time.Second
+// The bound of the platform: in any 4 s at most 1.5 times the limit, plus 5 requests.
+const boundWindow = 4 * time.Second
 
-func bound(rate float64) float64 { return 1.5*rate*boundOver.Seconds() + 5 }
+func bound(rate float64) float64 { return 1.5*rate*boundWindow.Seconds() + 5 }
 
-// fleet draws requests at instances that share one limit and returns the largest number sent in
-// a window, and the mean rate.
-func fleet(seed uint64, instances int, rate float64) (most int, mean float64) {
+// simulate sends random requests at instances that share one limit, and returns the largest number
+// sent in a window and the mean rate.
+func simulate(seed uint64, instances int, rate float64) (most int, mean float64) {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	var names []string
 	for i := range instances {
@@ -161,12 +161,12 @@
 			Self: name, Instances: func() []string { return names },
 			TimeOfDay: func(now time.Time) time.Time { return now.Add(skew) },
 		})
-		tables[i].Observe("e", named(rate), at(0), at(0))
+		tables[i].Observe("e", limited(rate), at(0), at(0))
 	}
 	const length = 60_000
 	var sent []time.Time
 	for ms := 0; ms < length; ms += 2 {
-		if rnd.Float64() > 0.3 { // 150 requests a second
+		if rnd.Float64() > 0.3 { // 150 requests per second
 			continue
 		}
 		if tables[rnd.IntN(instances)].Take("e", at(ms)) != nil {
@@ -174,7 +174,7 @@
 		}
 		sent = append(sent, at(ms))
 		in := 0
-		for i := len(sent) - 1; i >= 0 && at(ms).Sub(sent[i]) < boundOver; i-- {
+		for i := len(sent) - 1; i >= 0 && at(ms).Sub(sent[i]) < boundWindow; i-- {
 			in++
 		}
 		most = max(most, in)
@@ -186,7 +186,7 @@
 	for _, instances := range []int{1, 3, 9, 22, 77, 300} {
 		for _, rate := range []float64{0, 0.05, 0.5, 1, 1.7, 6, 40} {
 			for seed := range uint64(4) {
-				most, mean := fleet(seed, instances, rate)
+				most, mean := simulate(seed, instances, rate)
 				if float64(most) > bound(rate) {
 					t.Errorf("%d instances, %v a second, seed %d: %d in a window of %v", instances, rate, seed, most, bound(rate))
 				}
@@ -198,7 +198,8 @@
 	}
 }
 
-// Instances that know only some of the others hold grants twice, and still keep the bound.
+// Some grants are held twice while instances know only some of the others; the sum must still stay
+// within the bound.
 func TestALimitHoldsWhileMembersDiffer(t *testing.T) {
 	is := is.New(t)
 	for index := range int64(4000) {
@@ -207,11 +208,11 @@
 		for i := range 9 {
 			var known []string
 			for j := range 9 {
-				if j != (i+1)%9 { // each misses one
+				if j != (i+1)%9 { // each instance does not know one of the others
 					known = append(known, fmt.Sprint("n", j))
 				}
 			}
-			total += Rendezvous(s, fmt.Sprint("n", i), known)
+			total += GrantsOf(s, fmt.Sprint("n", i), known)
 		}
 		is.True(total <= 2*s.Grants())
 	}
@@ -236,7 +237,7 @@
 		s := Slot{Endpoint: "x", Rate: 31, Index: index}
 		sum := 0
 		for _, name := range names {
-			sum += Rendezvous(s, name, names)
+			sum += GrantsOf(s, name, names)
 		}
 		is.Equal(sum, s.Grants())
 	}
@@ -246,7 +247,7 @@
 	is := is.New(t)
 	var back time.Duration
 	table := New(Options{Self: "a", TimeOfDay: func(now time.Time) time.Time { return now.Add(-back) }})
-	table.Observe("e", named(4), at(0), at(0))
+	table.Observe("e", limited(4), at(0), at(0))
 	sent := 0
 	for ms := 0; ms < 8000; ms += 10 {
 		if ms == 4000 {
