--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,7 +1,7 @@
-// Package usage counts, by client account and window of the wall clock, the requests
-// that servers began to run, over all nodes.
+// Package usage counts the requests that endpoints began to run, over all instances, by client
+// account and by window of the wall clock.
 //
-// The package is pure; a Counter belongs to one goroutine at a time.
+// The package does no I/O and reads no clock. A Counter must be used by one goroutine at a time.
 package usage
 
 import (
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Counts holds a number of requests by client account.
+// Counts holds numbers of requests by client account.
 type Counts map[string]int64
 
-// KeepWindows is how many windows are remembered.
+// RetainedWindows is the number of windows before the current one that Expire keeps.
 const KeepWindows = 8
 
-// WindowOf returns the number of the window that a time is in.
+// WindowOf returns the number of the window that contains a time, counted from the Unix epoch.
 func WindowOf(at time.Time, window time.Duration) int64 {
 	n := at.UnixNano()
 	w := int64(window)
@@ -27,20 +27,21 @@
 	return n / w
 }
 
-// End returns when a window ends.
+// WindowEnd returns the end of a window.
 func End(number int64, window time.Duration) time.Time {
 	return time.Unix(0, (number+1)*int64(window))
 }
 
+// source is one incarnation of another instance.
 type source struct {
 	instance    string
 	incarnation int64
 }
 
-// Counter holds the counts of this node and those that others reported.
+// Counter holds the counts of this instance and those that others reported.
 type Counter struct {
-	own      map[int64]Counts
-	received map[int64]map[source]Counts
+	own      map[int64]Counts            // by window
+	received map[int64]map[source]Counts // by window
 }
 
 // New returns an empty counter.
@@ -48,8 +49,8 @@
 	return &Counter{own: make(map[int64]Counts), received: make(map[int64]map[source]Counts)}
 }
 
-// Add counts requests of a client account in a window; n is negative for one that
-// turned out not to have run.
+// Add counts n requests of a client account in a window. n is -1 to take back a request that turned
+// out not to have run.
 func (c *Counter) Add(window int64, account string, n int64) {
 	w := c.own[window]
 	if w == nil {
@@ -59,7 +60,7 @@
 	w[account] += n
 }
 
-// Own returns this node's counts by window.
+// Own returns a copy of this instance's counts, by window.
 func (c *Counter) Own() map[int64]Counts {
 	out := make(map[int64]Counts, len(c.own))
 	for w, counts := range c.own {
@@ -68,21 +69,21 @@
 	return out
 }
 
-// Apply replaces what one incarnation of another node counted. What an earlier
-// incarnation counted stays.
-func (c *Counter) Apply(node string, incarnation int64, counts map[int64]Counts) {
-	for w, of := range counts {
+// Apply replaces the counts of one incarnation of another instance in the windows given. The counts
+// of its earlier incarnations stay.
+func (c *Counter) Apply(instance string, incarnation int64, counts map[int64]Counts) {
+	for w, reported := range counts {
 		all := c.received[w]
 		if all == nil {
 			all = make(map[source]Counts)
 			c.received[w] = all
 		}
-		all[source{node, incarnation}] = of
+		all[source{instance, incarnation}] = reported
 	}
 }
 
-// Sum returns the counts of a window over all nodes. Each of the client accounts named
-// stands in it, with 0 if nothing was counted.
+// Sum returns the counts of a window over all instances. It contains each of the given client
+// accounts, with 0 if nothing was counted.
 func (c *Counter) Sum(window int64, accounts []string) Counts {
 	out := make(Counts)
 	for _, name := range accounts {
@@ -99,7 +100,7 @@
 	return out
 }
 
-// Record is what one incarnation of a node counted in a window.
+// Record holds the counts of one incarnation of an instance in a window.
 type Record struct {
 	Instance    string `json:"node"`
 	Incarnation int64  `json:"incarnation"`
@@ -107,13 +108,13 @@
 	Counts      Counts `json:"counts"`
 }
 
-// Records returns all counts from a window on, in a fixed order. node and
-// incarnation are this node's own.
-func (c *Counter) Records(node string, incarnation, from int64) []Record {
+// Records returns all counts of the window from and later ones, ordered by window, instance and
+// incarnation. instance and incarnation are this instance's own.
+func (c *Counter) Records(instance string, incarnation, from int64) []Record {
 	var out []Record
 	for w, counts := range c.own {
 		if w >= from {
-			out = append(out, Record{node, incarnation, w, maps.Clone(counts)})
+			out = append(out, Record{instance, incarnation, w, maps.Clone(counts)})
 		}
 	}
 	for w, sources := range c.received {
@@ -129,12 +130,12 @@
 	return out
 }
 
-// Recall takes records that were kept for when all nodes die at once. What was
-// heard since from the same incarnation counts more where it is more; this
-// incarnation knows better itself.
-func (c *Counter) Recall(records []Record, node string, incarnation int64) {
+// Restore merges records that were saved in case all instances fail at once. Where the same
+// incarnation has reported a count itself since, the larger one is kept. Records of this
+// incarnation, given by instance and incarnation, are ignored.
+func (c *Counter) Recall(records []Record, instance string, incarnation int64) {
 	for _, r := range records {
-		if r.Instance == node && r.Incarnation == incarnation {
+		if r.Instance == instance && r.Incarnation == incarnation {
 			continue
 		}
 		all := c.received[r.Window]
@@ -150,7 +151,7 @@
 	}
 }
 
-// Expire forgets the windows long before current.
+// Expire removes windows that are more than RetainedWindows before the current one.
 func (c *Counter) Expire(current int64) {
 	maps.DeleteFunc(c.own, func(w int64, _ Counts) bool { return w < current-KeepWindows })
 	maps.DeleteFunc(c.received, func(w int64, _ map[source]Counts) bool { return w < current-KeepWindows })
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -20,10 +20,10 @@
 	is := is.New(t)
 	c := New()
 	c.Add(7, "a", 2)
-	c.Add(7, "a", -1) // turned out not to have run
+	c.Add(7, "a", -1) // did not run after all
 	c.Apply("n1", 1, map[int64]Counts{7: {"a": 3}})
 	c.Apply("n1", 1, map[int64]Counts{7: {"a": 5}}) // replaces
-	c.Apply("n1", 2, map[int64]Counts{7: {"b": 1}}) // started anew
+	c.Apply("n1", 2, map[int64]Counts{7: {"b": 1}}) // restarted
 	is.Equal(c.Sum(7, []string{"a", "b", "c"}), Counts{"a": 6, "b": 1, "c": 0})
 	c.Expire(7 + KeepWindows + 1)
 	is.Equal(c.Sum(7, nil), Counts{})
@@ -38,15 +38,15 @@
 	records := c.Records("n0", 4, 7)
 	is.Equal(len(records), 2)
 
-	fresh := New()
-	fresh.Add(7, "a", 10)
-	fresh.Apply("n1", 5, map[int64]Counts{7: {"a": 4}}) // heard since
-	fresh.Recall(records, "n0", 9)                      // started anew
-	fresh.Recall(records, "n0", 9)                      // once more changes nothing
-	is.Equal(fresh.Sum(7, nil), Counts{"a": 10 + 2 + 4})
+	restarted := New()
+	restarted.Add(7, "a", 10)
+	restarted.Apply("n1", 5, map[int64]Counts{7: {"a": 4}}) // reported since
+	restarted.Recall(records, "n0", 9)                      // restarted
+	restarted.Recall(records, "n0", 9)                      // a repetition changes nothing
+	is.Equal(restarted.Sum(7, nil), Counts{"a": 10 + 2 + 4})
 
-	same := New()
-	same.Add(7, "a", 5)
-	same.Recall(records, "n0", 4) // its own counts
-	is.Equal(same.Sum(7, nil), Counts{"a": 5 + 3})
+	running := New()
+	running.Add(7, "a", 5)
+	running.Recall(records, "n0", 4) // its own counts
+	is.Equal(running.Sum(7, nil), Counts{"a": 5 + 3})
 }
