--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -1,114 +1,114 @@
-// Package tally sums what many instances count, through a few hubs.
+// Package tally sums counters of many instances through a few hubs.
 //
-// Each instance reports to one hub what it counted, and goes to another hub when that
-// one does not answer. What is reported is the running total of all that was ever reported
-// to this hub, never an increase: a message that is repeated, lost or late changes
-// nothing in the end. Each count is reported to one hub, so that the sum over all hubs
-// has it once. What a hub did not confirm is reported to the next one as well: it is
-// then counted twice, until the first hub gets a report again or is forgotten.
+// Each instance reports its counts to one hub, and switches to another hub when that one does not
+// answer. A report holds running totals of everything ever reported to that hub rather than
+// increments, so that repeated, lost or late messages do no lasting harm. Each count is reported to
+// one hub only, so that the sum over all hubs contains it once. Counts that a hub did not
+// acknowledge are reported to the next one as well. They may then be counted twice until the first
+// hub receives a report again or is no longer summed.
 //
-// The package is pure; its types belong to one goroutine at a time.
+// The package does no I/O. Its types must be used by one goroutine at a time.
 package tally
 
 import "maps"
 
-// Number is what is counted.
+// Number is the type of a count.
 type Number interface{ ~int64 | ~float64 }
 
 // Counts are running totals by key.
 type Counts[K comparable, V Number] map[K]V
 
-// Source is one run of an instance: its counts begin anew with each start.
+// Source identifies one incarnation of an instance. Counts begin at zero with each incarnation.
 type Source struct {
 	Instance    string
 	Incarnation int64
 }
 
-// Ledger divides the running totals of one instance among the hubs that it reports to.
+// Reporter divides the running totals of one instance among the hubs that it reports to.
 type Ledger[K comparable, V Number] struct {
-	reported map[Source]Counts[K, V] // what each hub confirmed
+	acknowledged map[Source]Counts[K, V] // totals that each hub acknowledged
 }
 
-// NewLedger returns a ledger of an instance that reported nothing yet.
+// NewReporter returns the Reporter of an instance that has reported nothing yet.
 func NewLedger[K comparable, V Number]() *Ledger[K, V] {
-	return &Ledger[K, V]{reported: make(map[Source]Counts[K, V])}
+	return &Ledger[K, V]{acknowledged: make(map[Source]Counts[K, V])}
 }
 
-// Offer returns what is to be reported to a hub: what it confirmed before, and that part
-// of the instance's totals which no hub has confirmed. Keys that are not in the
-// totals any more are not reported.
+// TotalsFor returns the totals to report to a hub: those that it acknowledged before, plus the part
+// of the instance's totals that no hub has acknowledged. Keys that are not in total are left out.
 func (l *Ledger[K, V]) Offer(hub Source, total Counts[K, V]) Counts[K, V] {
-	offer := maps.Clone(total)
-	if offer == nil {
-		offer = make(Counts[K, V])
+	report := maps.Clone(total)
+	if report == nil {
+		report = make(Counts[K, V])
 	}
-	for other, told := range l.reported {
+	for other, counts := range l.acknowledged {
 		if other == hub {
 			continue
 		}
-		for key, v := range told {
-			if _, counted := offer[key]; counted {
-				offer[key] -= v
+		for key, v := range counts {
+			if _, counted := report[key]; counted {
+				report[key] -= v
 			}
 		}
 	}
-	return offer
+	return report
 }
 
-// Confirmed notes that a hub has what it was offered.
-func (l *Ledger[K, V]) Confirmed(hub Source, offer Counts[K, V]) { merge(l.reported, hub, offer) }
+// Acknowledge records that a hub received a report made by TotalsFor.
+func (l *Ledger[K, V]) Confirmed(hub Source, report Counts[K, V]) {
+	merge(l.acknowledged, hub, report)
+}
 
-// Reported returns what a hub confirmed. It must not be changed.
-func (l *Ledger[K, V]) Reported(hub Source) Counts[K, V] { return l.reported[hub] }
+// Acknowledged returns the totals that a hub acknowledged. They must not be modified.
+func (l *Ledger[K, V]) Reported(hub Source) Counts[K, V] { return l.acknowledged[hub] }
 
-// Drop forgets keys that are not counted any more.
-func (l *Ledger[K, V]) Drop(key func(K) bool) {
-	for _, told := range l.reported {
-		dropKeys(told, key)
+// DropKeys removes the keys for which drop returns true.
+func (l *Ledger[K, V]) Drop(drop func(K) bool) {
+	for _, counts := range l.acknowledged {
+		dropKeys(counts, drop)
 	}
 }
 
-// Pool sums at a hub what the instances reported.
+// Aggregator sums at a hub what instances reported.
 type Pool[K comparable, V Number] struct {
-	reported map[Source]Counts[K, V] // newest of each instance
-	sum      Counts[K, V]            // of all, those that are gone included
+	reported map[Source]Counts[K, V] // latest totals of each incarnation
+	sum      Counts[K, V]            // over all incarnations, including ended ones
 }
 
-// NewPool returns an empty pool.
+// NewAggregator returns an Aggregator without counts.
 func NewPool[K comparable, V Number]() *Pool[K, V] {
 	return &Pool[K, V]{reported: make(map[Source]Counts[K, V]), sum: make(Counts[K, V])}
 }
 
-// Take takes the totals that an instance reports.
+// Apply applies the totals that an instance reports.
 func (p *Pool[K, V]) Take(from Source, totals Counts[K, V]) {
-	before := p.reported[from]
+	previous := p.reported[from]
 	for key, v := range totals {
-		p.sum[key] += v - before[key]
+		p.sum[key] += v - previous[key]
 	}
 	merge(p.reported, from, totals)
 }
 
-// Sum returns the sums over all instances that ever reported anything. They must not
-// be changed.
+// Sum returns the sums over all incarnations that ever reported. They must not be modified.
 func (p *Pool[K, V]) Sum() Counts[K, V] { return p.sum }
 
-// Drop forgets keys that are not counted any more.
-func (p *Pool[K, V]) Drop(key func(K) bool) {
-	dropKeys(p.sum, key)
-	for _, told := range p.reported {
-		dropKeys(told, key)
+// DropKeys removes the keys for which drop returns true.
+func (p *Pool[K, V]) Drop(drop func(K) bool) {
+	dropKeys(p.sum, drop)
+	for _, counts := range p.reported {
+		dropKeys(counts, drop)
 	}
 }
 
-// merge puts counts in the place of older ones. A key that is not in them stays as it
-// was: it may be reported again.
-func merge[K comparable, V Number](all map[Source]Counts[K, V], of Source, newer Counts[K, V]) {
-	if all[of] == nil {
-		all[of] = make(Counts[K, V], len(newer))
+// merge overwrites the counts of a source with newer ones. Keys that are missing in newer keep
+// their counts, since they may be reported again.
+func merge[K comparable, V Number](all map[Source]Counts[K, V], source Source, newer Counts[K, V]) {
+	if all[source] == nil {
+		all[source] = make(Counts[K, V], len(newer))
 	}
-	maps.Copy(all[of], newer)
+	maps.Copy(all[source], newer)
 }
 
-func dropKeys[K comparable, V Number](c Counts[K, V], key func(K) bool) {
-	maps.DeleteFunc(c, func(k K, _ V) bool { return key(k) })
+func dropKeys[K comparable, V Number](counts Counts[K, V], drop func(K) bool) {
+	maps.DeleteFunc(counts, func(k K, _ V) bool { return drop(k) })
 }
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -10,47 +10,47 @@
 )
 
 type (
-	ledger = Ledger[string, int64]
-	pool   = Pool[string, int64]
-	counts = Counts[string, int64]
+	reporter   = Ledger[string, int64]
+	aggregator = Pool[string, int64]
+	counts     = Counts[string, int64]
 )
 
 func hub(i int) Source { return Source{Instance: fmt.Sprint("hub", i), Incarnation: 1} }
 
-// tell tells a hub of an instance's totals; the call or its answer may be lost.
-func exchange(l *ledger, self, to Source, p *pool, total counts, callLost, answerLost bool) {
-	offer := l.Offer(to, maps.Clone(total))
+// exchange reports the totals of an instance to a hub. The call or its answer may be lost.
+func exchange(l *reporter, self, to Source, p *aggregator, total counts, callLost, answerLost bool) {
+	report := l.Offer(to, maps.Clone(total))
 	if callLost {
 		return
 	}
-	p.Take(self, offer)
+	p.Take(self, report)
 	if !answerLost {
-		l.Confirmed(to, offer)
+		l.Confirmed(to, report)
 	}
 }
 
-// Whatever messages are lost, and whichever hubs an instance goes to: once it has
-// spoken to each of them again, each count is in the sum once.
+// Whatever messages are lost, and whichever hubs an instance reports to: after one more successful
+// report to each of them, each count is in the sum once.
 func TestEachCountIsSummedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hubs, instances = 3, 4
-		var pools []*pool
+		var aggregators []*aggregator
 		for range hubs {
-			pools = append(pools, NewPool[string, int64]())
+			aggregators = append(aggregators, NewPool[string, int64]())
 		}
-		totals, ledgers := make([]counts, instances), make([]*ledger, instances)
+		totals, reporters := make([]counts, instances), make([]*reporter, instances)
 		for i := range instances {
-			totals[i], ledgers[i] = make(counts), NewLedger[string, int64]()
+			totals[i], reporters[i] = make(counts), NewLedger[string, int64]()
 		}
 		self := func(i int) Source { return Source{Instance: fmt.Sprint("i", i), Incarnation: 1} }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i, h := rapid.IntRange(0, instances-1).Draw(t, "instance"), rapid.IntRange(0, hubs-1).Draw(t, "hub")
 			totals[i][rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")] += rapid.Int64Range(-2, 9).Draw(t, "more")
-			exchange(ledgers[i], self(i), hub(h), pools[h], totals[i], rapid.Bool().Draw(t, "call lost"), rapid.Bool().Draw(t, "answer lost"))
+			exchange(reporters[i], self(i), hub(h), aggregators[h], totals[i], rapid.Bool().Draw(t, "call lost"), rapid.Bool().Draw(t, "answer lost"))
 		}
 		for i := range instances {
 			for h := range hubs {
-				exchange(ledgers[i], self(i), hub(h), pools[h], totals[i], false, false)
+				exchange(reporters[i], self(i), hub(h), aggregators[h], totals[i], false, false)
 			}
 		}
 		for _, key := range []string{"a", "b"} {
@@ -58,7 +58,7 @@
 			for i := range instances {
 				want += totals[i][key]
 			}
-			for _, p := range pools {
+			for _, p := range aggregators {
 				got += p.Sum()[key]
 			}
 			if want != got {
@@ -68,19 +68,20 @@
 	})
 }
 
-// Until then a count may be there twice, but none is missing while the hubs live.
+// Until an instance has reported to each hub again, a count may be in the sum twice, but none is missing
+// while the hubs are alive.
 func TestNoCountIsMissing(t *testing.T) {
 	is := is.New(t)
 	l, first, second := NewLedger[string, int64](), NewPool[string, int64](), NewPool[string, int64]()
 	self := Source{"i", 1}
-	exchange(l, self, hub(0), first, counts{"a": 5}, false, true) // counted, but not confirmed
+	exchange(l, self, hub(0), first, counts{"a": 5}, false, true) // received, but not acknowledged
 	exchange(l, self, hub(1), second, counts{"a": 7}, false, false)
 	is.Equal(first.Sum()["a"]+second.Sum()["a"], int64(12))
 	exchange(l, self, hub(0), first, counts{"a": 8}, false, false)
 	is.Equal(first.Sum()["a"]+second.Sum()["a"], int64(8))
 }
 
-// A restarted instance counts from zero; what it counted before stays.
+// A restarted instance counts from zero; its earlier counts stay in the sum.
 func TestARestartedInstance(t *testing.T) {
 	is := is.New(t)
 	p := NewPool[string, int64]()
