--- a/internal/notice/header.go
+++ b/internal/notice/header.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// maxRest bounds how long an endpoint may ask for rest. Nothing that is meant takes a day,
-// and what is told in seconds may not fit a duration.
-const maxRest = 24 * time.Hour
+// maxBackoff bounds the backoff that an endpoint may request. No sensible value is longer than a
+// day, and a number of seconds may overflow a time.Duration.
+const maxBackoff = 24 * time.Hour
 
-// RetryAfter returns how long the sender of an answer wants no more requests by its
-// Retry-After header, 0 if it does not say or it cannot be read. It takes seconds, with
-// fractions too, and a date (RFC 9110, 10.2.3), which counts from the answer's own, so that
-// the two clocks need not agree.
+// RetryAfter returns the backoff that the Retry-After header of an answer requests, at most
+// maxBackoff; 0 if there is no such header or it cannot be parsed. The value may be a number of
+// seconds, also with a fraction, or a date (RFC 9110, 10.2.3), which is taken relative to the Date
+// header of the answer, so that the two clocks need not agree.
 func RetryAfter(h http.Header) time.Duration {
 	text := strings.TrimSpace(h.Get("Retry-After"))
-	if s, err := strconv.ParseFloat(text, 64); err == nil || s > 0 { // too large a number is an error and +Inf
-		if !(s > 0) { // NaN is not
+	if s, err := strconv.ParseFloat(text, 64); err == nil || s > 0 { // a number that is too large yields an error and +Inf
+		if !(s > 0) { // also true for NaN
 			return 0
 		}
-		return time.Duration(min(s, maxRest.Seconds()) * float64(time.Second))
+		return time.Duration(min(s, maxBackoff.Seconds()) * float64(time.Second))
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
@@ -31,5 +31,5 @@
 	if err != nil {
 		return 0
 	}
-	return min(max(0, until.Sub(sent)), maxRest)
+	return min(max(0, until.Sub(sent)), maxBackoff)
 }
--- a/internal/notice/table.go
+++ b/internal/notice/table.go
@@ -1,10 +1,8 @@
-// Package notice keeps what endpoints say of themselves in their answers: that they leave,
-// and until when they want no more requests from this instance.
+// Package notice keeps what endpoints announce in their answers: that they are leaving, and until
+// when they want no more requests from this instance.
 //
-// An answer is the first word, and often for seconds the only one, of an endpoint that
-// leaves: while the store does not take its entry, nobody else reports it.
-//
-// Book is safe for concurrent use. Reading it takes no lock.
+// An answer is the first indication that an endpoint is leaving, and while the store does not accept
+// writes it is the only one for seconds.
 package notice
 
 import (
@@ -17,183 +15,186 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// Notice is what an endpoint says of itself in one answer. The zero value says nothing.
+// Notice is what an endpoint announces in one answer. The zero value is no announcement.
 type Notice struct {
-	Leaving bool          // it gets no new work
-	RestFor time.Duration // from the answer on it wants nothing from this instance; 0 if it did not say
+	Leaving bool          // it is leaving and must get no new requests
+	RestFor time.Duration // time from the answer on in which it wants no requests from this instance; 0 if none
 }
 
-// standing is what an endpoint last said of itself.
-type standing struct {
-	leaving    time.Time // time of day when it last said that it leaves; zero if it did not
-	restAsked  time.Time // time of day when it last asked for rest
-	restUntil  time.Time
-	observedAt time.Time // when it last said anything of itself
+// endpointState holds the latest notices of an endpoint.
+type endpointState struct {
+	leavingAt          time.Time // time of day of its last notice that it leaves; zero if there was none
+	backoffRequestedAt time.Time // time of day of its last notice that requests a backoff
+	backoffUntil       time.Time
+	observedAt         time.Time // time of its last notice
 }
 
-// leaves reports whether an incarnation said that it leaves. An answer does not tell which
-// incarnation gave it, and one that started again may speak for seconds before its entry
-// is read: what was observed since a start is that incarnation's word, or a later one's.
-func (s *standing) leaves(started time.Time) bool {
-	return !s.leaving.IsZero() && !s.leaving.Before(started)
+// leaves reports whether the incarnation that started at the given time of day announced that it
+// leaves. An answer does not identify the incarnation that gave it, and a restarted endpoint may
+// answer for seconds before its entry is read: a notice counts for every incarnation that started
+// before it was observed.
+func (s *endpointState) leaves(started time.Time) bool {
+	return !s.leavingAt.IsZero() && !s.leavingAt.Before(started)
 }
 
-// rests reports whether an incarnation wants no requests now.
-func (s *standing) rests(started, now time.Time) bool {
-	return now.Before(s.restUntil) && !s.restAsked.Before(started)
+// inBackoff reports whether the incarnation that started at the given time of day wants no requests
+// now.
+func (s *endpointState) inBackoff(started, now time.Time) bool {
+	return now.Before(s.backoffUntil) && !s.backoffRequestedAt.Before(started)
 }
 
-// keepFor is how long the word of an endpoint that is not listed is kept. One that leaves
-// goes on for some seconds after its entry went, and the entry may lapse and be written
-// again while the store is in trouble.
-const keepFor = 10 * time.Minute
+// unlistedRetention is how long notices of an endpoint that is not listed are kept. A leaving endpoint
+// runs on for some seconds after its entry was removed, and while the store is unreliable an entry may
+// expire and be written again.
+const unlistedRetention = 10 * time.Minute
 
-// Options are what a book is made of. Both may be nil.
+// Options configure a Table. Each field may be nil.
 type Options struct {
-	// Told is called for each notice that says something new, with the end of the rest if
-	// it asks for one.
+	// OnChange is called without locks held for each notice that changes the state of an
+	// endpoint. until is the end of the requested backoff.
 	Changed func(endpoint registry.Endpoint, n Notice, until time.Time)
-	// TimeOfDay returns the time of day at a moment, which the starts of endpoints are
-	// compared with; nil for the moment itself.
+	// TimeOfDay converts a time to the time of day, which is compared with the start times of
+	// endpoints. If it is nil, the time itself is used.
 	TimeOfDay func(now time.Time) time.Time
 }
 
-// Table holds what was observed, by the ids of endpoints over all their incarnations.
+// Table holds the notices of endpoints, by the id that all incarnations of an endpoint share. It is
+// safe for concurrent use, and reading it takes no lock.
 type Table struct {
 	options Options
 
-	mu        sync.Mutex                          // held to write
-	standings atomic.Pointer[map[string]standing] // never changed, only replaced
+	mu     sync.Mutex                               // held while writing
+	states atomic.Pointer[map[string]endpointState] // the map is never modified, only replaced
 }
 
-// New returns an empty book.
+// New returns an empty table.
 func New(o Options) *Table {
-	b := &Table{options: o}
-	b.standings.Store(&map[string]standing{})
-	return b
+	t := &Table{options: o}
+	t.states.Store(&map[string]endpointState{})
+	return t
 }
 
-// Observe takes what an answer said that was read at a time. Leaving, once said, holds for
-// good. A rest holds to the latest end that was asked for: an answer that was on the way
-// meanwhile, and asks for less, does not take back what the one before asked.
-func (b *Table) Observe(endpoint registry.Endpoint, n Notice, at time.Time) {
+// Observe applies the notice in an answer that was read at the given time. That an incarnation
+// leaves is never taken back. A backoff lasts until the latest end that was requested: an answer that
+// was in flight meanwhile and requests less does not shorten it.
+func (t *Table) Observe(endpoint registry.Endpoint, n Notice, at time.Time) {
 	if n == (Notice{}) {
 		return
 	}
 	until := at.Add(n.RestFor)
-	if b.note(endpoint, n, until, at) && b.options.Changed != nil {
-		b.options.Changed(endpoint, n, until)
+	if t.record(endpoint, n, until, at) && t.options.Changed != nil {
+		t.options.Changed(endpoint, n, until)
 	}
 }
 
-// note writes a notice down and reports whether it says something new.
-func (b *Table) note(endpoint registry.Endpoint, n Notice, until, at time.Time) (news bool) {
+// record stores a notice, and reports whether it changes the state of the endpoint.
+func (t *Table) record(endpoint registry.Endpoint, n Notice, until, at time.Time) (changed bool) {
 	wall := at
-	if b.options.TimeOfDay != nil {
-		wall = b.options.TimeOfDay(at)
+	if t.options.TimeOfDay != nil {
+		wall = t.options.TimeOfDay(at)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	old := *b.standings.Load()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	old := *t.states.Load()
 	s := old[endpoint.StoreID()]
 	s.observedAt = at
 	if n.Leaving {
-		news = !s.leaves(endpoint.StartedAt)
-		s.leaving = wall
+		changed = !s.leaves(endpoint.StartedAt)
+		s.leavingAt = wall
 	}
 	if n.RestFor > 0 {
-		rested := s.rests(endpoint.StartedAt, at)
-		news = news || !rested
-		s.restAsked = wall
-		if !rested || until.After(s.restUntil) {
-			s.restUntil = until
+		wasInBackoff := s.inBackoff(endpoint.StartedAt, at)
+		changed = changed || !wasInBackoff
+		s.backoffRequestedAt = wall
+		if !wasInBackoff || until.After(s.backoffUntil) {
+			s.backoffUntil = until
 		}
 	}
 	next := maps.Clone(old)
 	next[endpoint.StoreID()] = s
-	b.standings.Store(&next)
-	return news
+	t.states.Store(&next)
+	return changed
 }
 
-// Errors that say why an endpoint may not be sent a request.
+// Errors that Allows returns.
 var (
-	ErrLeaving = errors.New("the endpoint said that it leaves")
-	ErrResting = errors.New("the endpoint asked for rest")
+	ErrLeaving = errors.New("the endpoint announced that it is leaving")
+	ErrBackoff = errors.New("the endpoint requested a backoff that has not ended")
 )
 
-// Allows returns nil if an endpoint may be sent a request, else why not.
-func (b *Table) Allows(endpoint *registry.Endpoint, now time.Time) error {
-	s := (*b.standings.Load())[endpoint.StoreID()]
+// Allows returns nil if an endpoint may be sent a request, and otherwise ErrLeaving or ErrBackoff.
+func (t *Table) Allows(endpoint *registry.Endpoint, now time.Time) error {
+	s := (*t.states.Load())[endpoint.StoreID()]
 	switch {
 	case s.leaves(endpoint.StartedAt):
 		return ErrLeaving
-	case s.rests(endpoint.StartedAt, now):
-		return ErrResting
+	case s.inBackoff(endpoint.StartedAt, now):
+		return ErrBackoff
 	}
 	return nil
 }
 
-// Leaves reports whether an endpoint said that it leaves.
-func (b *Table) Leaves(endpoint *registry.Endpoint) bool {
-	s := (*b.standings.Load())[endpoint.StoreID()]
+// Leaves reports whether an endpoint announced that it leaves.
+func (t *Table) Leaves(endpoint *registry.Endpoint) bool {
+	s := (*t.states.Load())[endpoint.StoreID()]
 	return s.leaves(endpoint.StartedAt)
 }
 
-// Closed returns the ids of those endpoints that may not be sent requests, and when the
-// first of them takes requests again, zero if none does. It takes no time while no endpoint
-// has said anything.
-func (b *Table) Closed(endpoints []registry.Endpoint, now time.Time) (ids []string, opensAt time.Time) {
-	standings := *b.standings.Load()
-	if len(standings) == 0 {
+// Unavailable returns the ids of those endpoints that may not be sent requests now, and the time when
+// the first of them accepts requests again, zero if there is none that will. It returns at once
+// while there are no notices.
+func (t *Table) Closed(endpoints []registry.Endpoint, now time.Time) (ids []string, availableAt time.Time) {
+	states := *t.states.Load()
+	if len(states) == 0 {
 		return nil, time.Time{}
 	}
 	for i := range endpoints {
 		e := &endpoints[i]
-		s, heard := standings[e.StoreID()]
-		if !heard {
+		s, ok := states[e.StoreID()]
+		if !ok {
 			continue
 		}
-		leaves, rests := s.leaves(e.StartedAt), s.rests(e.StartedAt, now)
-		if leaves || rests {
+		leaves, backsOff := s.leaves(e.StartedAt), s.inBackoff(e.StartedAt, now)
+		if leaves || backsOff {
 			ids = append(ids, e.ID)
 		}
-		if !leaves && rests && (opensAt.IsZero() || s.restUntil.Before(opensAt)) {
-			opensAt = s.restUntil
+		if !leaves && backsOff && (availableAt.IsZero() || s.backoffUntil.Before(availableAt)) {
+			availableAt = s.backoffUntil
 		}
 	}
-	return ids, opensAt
+	return ids, availableAt
 }
 
-// Open returns those endpoints that may be sent requests: the list itself while no
-// endpoint has said anything.
-func (b *Table) Open(endpoints []registry.Endpoint, now time.Time) []registry.Endpoint {
-	if len(*b.standings.Load()) == 0 {
+// Available returns those endpoints that may be sent requests now. While there are no notices it
+// returns the slice itself.
+func (t *Table) Open(endpoints []registry.Endpoint, now time.Time) []registry.Endpoint {
+	if len(*t.states.Load()) == 0 {
 		return endpoints
 	}
-	open := make([]registry.Endpoint, 0, len(endpoints))
+	available := make([]registry.Endpoint, 0, len(endpoints))
 	for i := range endpoints {
-		if b.Allows(&endpoints[i], now) == nil {
-			open = append(open, endpoints[i])
+		if t.Allows(&endpoints[i], now) == nil {
+			available = append(available, endpoints[i])
 		}
 	}
-	return open
+	return available
 }
 
-// Forget drops what no longer holds: rests that are over, and the word of endpoints that
-// are not listed, by their ids over all incarnations, and were not seen for long.
-func (b *Table) Forget(listed func(endpoint string) bool, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	old := *b.standings.Load()
+// Expire removes backoffs that have ended, and notices of endpoints that are not listed and gave none
+// for unlistedRetention. listed is called with the id that all incarnations of an endpoint share.
+func (t *Table) Forget(listed func(endpoint string) bool, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	old := *t.states.Load()
 	if len(old) == 0 {
 		return
 	}
-	next := make(map[string]standing, len(old))
+	next := make(map[string]endpointState, len(old))
 	for id, s := range old {
-		leaves := !s.leaving.IsZero() && (listed(id) || now.Sub(s.observedAt) < keepFor)
-		if leaves || now.Before(s.restUntil) {
+		leaves := !s.leavingAt.IsZero() && (listed(id) || now.Sub(s.observedAt) < unlistedRetention)
+		if leaves || now.Before(s.backoffUntil) {
 			next[id] = s
 		}
 	}
-	b.standings.Store(&next)
+	t.states.Store(&next)
 }
