--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -12,55 +12,57 @@
 	"github.com/shelfcrank/shelfcrank/internal/policy"
 )
 
-// wholeBody is the size up to which a body is read to its end before any of it
-// is passed on: one that breaks off can then be answered for.
-const wholeBody = 256 << 10
+// maxBuffered is the size in bytes up to which a response body is buffered completely before any
+// of it is passed on, so that a response that breaks off can be replaced by an error or a retry.
+const maxBuffered = 256 << 10
 
-// take passes a server's answer on, unless another server may do better.
-func (h *Handler) take(ctx context.Context, w http.ResponseWriter, q *request, ticket *balance.Ticket, resp *backend.Response) outcome {
-	q.mayRun = true
+// handleResponse handles an endpoint's response: passes it on, or asks for another attempt if that may
+// give a better one.
+func (h *Handler) handleResponse(ctx context.Context, w http.ResponseWriter, q *request, ticket *balance.Ticket, resp *backend.Response) outcome {
+	q.mayHaveRun = true
 	ok := resp.Status >= 200 && resp.Status < 300
 	if ok && q.route.Kind == policy.Streaming && isEvents(resp.Header) {
 		return h.stream(ctx, w, q, ticket, resp)
 	}
 	if q.answered {
 		ticket.Done(balance.Failed, h.Clock.Now())
-		return outcome{again: true, denial: &denial{why: "the server did not go on with the stream"}}
+		return outcome{again: true, denial: &denial{why: "endpoint did not resume the stream"}}
 	}
 	h.began(q)
 	if ok && !valid(resp) {
 		ticket.Done(balance.Failed, h.Clock.Now())
-		return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "an answer without a seal"}}
+		return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "response without a seal"}}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp, wholeBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp, maxBuffered+1))
 	if err != nil {
-		ticket.Done(h.blame(ctx, broken(err)), h.Clock.Now())
-		h.broke(ctx, q, ticket.Endpoint)
+		ticket.Done(h.resultOf(ctx, streamError(err)), h.Clock.Now())
+		h.runAborted(ctx, q, ticket.Endpoint)
 		if ctx.Err() != nil {
 			return outcome{denial: h.ended(ctx, q)}
 		}
-		return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "the answer broke off", err: err}}
+		return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "response broke off", err: err}}
 	}
-	h.cameThrough(q, ticket.Endpoint, resp)
+	h.runCompleted(q, ticket.Endpoint, resp)
 	if resp.Status >= http.StatusInternalServerError {
 		ticket.Done(balance.Failed, h.Clock.Now())
-		if q.route.Idempotent() && len(body) <= wholeBody {
-			return outcome{again: true, denial: &denial{why: "the server failed", answer: &answer{resp, body}}}
+		if q.route.Idempotent() && len(body) <= maxBuffered {
+			return outcome{again: true, denial: &denial{why: "endpoint failed", answer: &answer{resp, body}}}
 		}
 	} else {
 		ticket.Done(balance.Answered, h.Clock.Now())
 	}
-	h.pass(w, q, resp, body)
+	h.writeResponse(w, q, resp, body)
 	return outcome{done: true}
 }
 
-// answer is a server's answer that is passed on if no other server does better.
+// answer is an endpoint's error response, passed on if no other endpoint gives a better one.
 type answer struct {
 	head *backend.Response
 	body []byte
 }
 
-// valid reports whether a success is a server's own.
+// valid reports whether a successful response is an endpoint's own: it bears a seal and a request
+// ID, and nothing on the way has encoded it.
 func valid(resp *backend.Response) bool {
 	return resp.Answer.Sealed && resp.Answer.RequestID != "" && resp.Header.Get("Content-Encoding") == ""
 }
@@ -69,28 +71,28 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// head copies the head of an answer.
-func (h *Handler) head(w http.ResponseWriter, q *request, resp *backend.Response) {
+// writeHead copies the response headers.
+func (h *Handler) writeHead(w http.ResponseWriter, q *request, resp *backend.Response) {
 	h.Protocol.CleanAnswer(resp.Header)
 	out := w.Header()
 	for name, values := range resp.Header {
 		out[name] = values
 	}
 	if len(out["Content-Type"]) == 0 {
-		out["Content-Type"] = nil // else one would be made up
+		out["Content-Type"] = nil // stops net/http from guessing one
 	}
 	q.answered = true
 }
 
-// pass writes an answer whose body, or the beginning of a large one, is read.
-func (h *Handler) pass(w http.ResponseWriter, q *request, resp *backend.Response, body []byte) {
-	if promises(resp.Status) && !resp.Answer.NotRun {
-		// The server ran it or may have: its status would say otherwise.
-		h.refuse(w, q, &denial{status: http.StatusBadGateway, why: "a promise that the server did not make"})
+// writeResponse writes a response; body is all of its body, or the beginning of a large one.
+func (h *Handler) writeResponse(w http.ResponseWriter, q *request, resp *backend.Response, body []byte) {
+	if claimsNotRun(resp.Status) && !resp.Answer.NotRun {
+		// The endpoint ran it or may have, which the status would deny.
+		h.refuse(w, q, &denial{status: http.StatusBadGateway, why: "the status claims that the request was not run, the endpoint does not"})
 		return
 	}
-	h.head(w, q, resp)
-	large := len(body) > wholeBody
+	h.writeHead(w, q, resp)
+	large := len(body) > maxBuffered
 	if !large {
 		setLength(w, len(body))
 	}
@@ -100,7 +102,7 @@
 		_, err = io.Copy(w, resp)
 	}
 	if err != nil {
-		h.logEnd(q, event.StreamBroken, resp.Status, "the answer broke off", err)
+		h.logEnd(q, event.StreamBroken, resp.Status, "response broke off", err)
 		panic(http.ErrAbortHandler)
 	}
 	h.logEnd(q, event.ForwardAnswered, resp.Status, "", nil)
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -14,16 +14,16 @@
 	"github.com/shelfcrank/shelfcrank/internal/policy"
 )
 
-// Bounds of attempts.
+// Limits of attempts.
 const (
-	leastLeft       = 20 * time.Millisecond // with less time left no server is asked
-	onceIdle        = 3 * time.Second       // connections idle for longer are not used for what runs once
-	spareConns      = 4                     // connections to a server that a node may always have
-	maxResumes      = 4                     // servers that go on with one stream
-	connectFailures = 3                     // servers that may be found dead before a request is given up on
+	minRemaining         = 20 * time.Millisecond // no endpoint is tried with less time left until the deadline
+	maxIdleNonIdempotent = 3 * time.Second       // a connection that was idle for longer may be closing; not used for requests that are not idempotent
+	minConns             = 4                     // connections to an endpoint that an instance may always have
+	maxResumes           = 4                     // further attempts to resume a stream, beyond those that its route allows
+	maxConnectFailures   = 3                     // failed connects after which a request is given up
 )
 
-// run sends a request to servers until one answers or it is given up on.
+// run tries endpoints until one answers or the request is given up.
 func (h *Handler) run(ctx context.Context, w http.ResponseWriter, q *request) {
 	var last *denial
 	unreached := 0
@@ -32,13 +32,13 @@
 		if out.done {
 			return
 		}
-		if out.unplaced && last != nil {
-			// What the server before answered says more than that no other one is left.
+		if out.noEndpoint && last != nil {
+			// The previous endpoint's response says more than that no other endpoint is left.
 			h.giveUp(w, q, last)
 			return
 		}
 		last = out.denial
-		if out.unreached {
+		if out.notSent {
 			unreached++
 		}
 		if !out.again {
@@ -48,41 +48,42 @@
 	}
 }
 
-// try sends the request to one server, if it may be tried.
+// try makes one attempt, if the quarantine and the limits of attempts allow it.
 func (h *Handler) try(ctx context.Context, w http.ResponseWriter, q *request, last *denial, unreached int) outcome {
-	leave, d := h.enter(ctx, q)
+	leave, d := h.acquirePermit(ctx, q)
 	if d != nil {
 		return outcome{denial: d}
 	}
 	if leave != nil {
-		defer func() { leave(!q.undecided) }()
+		defer func() { leave(!q.outcomeUnknown) }()
 	}
-	q.undecided = false
+	q.outcomeUnknown = false
 	if d := h.mayTry(ctx, q, last, unreached); d != nil {
 		return outcome{denial: d}
 	}
 	return h.attempt(ctx, w, q)
 }
 
-// giveUp refuses a request; what did not run is given back to its client account.
+// giveUp ends a request with an error response. Its units go back to the client account if no
+// endpoint can have run it.
 func (h *Handler) giveUp(w http.ResponseWriter, q *request, d *denial) {
-	if q.account != nil && !q.mayRun {
+	if q.account != nil && !q.mayHaveRun {
 		h.Admission.Return(q.account, q.units)
 	}
-	if q.answered && !d.gone {
-		// Part of an answer went out: only a cut shows that it is not whole.
+	if q.answered && !d.clientGone {
+		// Part of the response was sent: only an aborted connection shows that it is incomplete.
 		h.logEnd(q, event.StreamBroken, 0, d.why, d.err)
 		panic(http.ErrAbortHandler)
 	}
 	if d.answer != nil {
-		h.pass(w, q, d.answer.head, d.answer.body)
+		h.writeResponse(w, q, d.answer.head, d.answer.body)
 		return
 	}
 	h.refuse(w, q, d)
 }
 
-// mayTry says why no further server may be asked, or nil. last is what the one
-// before came to.
+// mayTry returns nil if an endpoint may be tried, and otherwise the denial that ends the
+// request. last is the result of the previous attempt.
 func (h *Handler) mayTry(ctx context.Context, q *request, last *denial, unreached int) *denial {
 	if ctx.Err() != nil {
 		return h.ended(ctx, q)
@@ -96,9 +97,9 @@
 		limit = max(limit, 1) + maxResumes
 	}
 	switch {
-	case len(q.tried) >= limit, unreached >= connectFailures:
+	case len(q.tried) >= limit, unreached >= maxConnectFailures:
 		return last
-	case h.Clock.Until(q.deadline) < leastLeft:
+	case h.Clock.Until(q.deadline) < minRemaining:
 		return last
 	case len(q.tried) > 0 && !h.Admission.SecondTry(q.service, h.Clock.Now()):
 		return last
@@ -106,55 +107,55 @@
 	return nil
 }
 
-// ended is the denial for a request whose client left or whose time is over.
+// ended is the denial for a request whose client disconnected or whose deadline has passed.
 func (h *Handler) ended(ctx context.Context, q *request) *denial {
 	if !errors.Is(context.Cause(ctx), errDeadline) {
-		return &denial{gone: true, why: "the client left", err: context.Cause(ctx)}
+		return &denial{clientGone: true, why: "client disconnected", err: context.Cause(ctx)}
 	}
-	return h.late(q)
+	return h.deadlinePassed(q)
 }
 
-// late is the denial for a request whose time is over.
-func (h *Handler) late(q *request) *denial {
-	if q.mayRun {
-		return &denial{status: http.StatusGatewayTimeout, why: "no answer in time"}
+// deadlinePassed is the denial for a request whose deadline has passed.
+func (h *Handler) deadlinePassed(q *request) *denial {
+	if q.mayHaveRun {
+		return &denial{status: http.StatusGatewayTimeout, why: "no response before the deadline"}
 	}
-	return &denial{status: http.StatusServiceUnavailable, why: "no server in time", wait: waitFull}
+	return &denial{status: http.StatusServiceUnavailable, why: "no endpoint available before the deadline", wait: waitRetry}
 }
 
-// outcome is what an attempt came to.
+// outcome is the result of an attempt.
 type outcome struct {
-	done      bool    // the client has its answer
-	again     bool    // another server may be asked
-	unreached bool    // nothing was sent
-	unplaced  bool    // no server was chosen
-	denial    *denial // the answer if no other server is asked
+	done       bool    // the response was sent
+	again      bool    // another endpoint may be tried
+	notSent    bool    // nothing was sent
+	noEndpoint bool    // no endpoint was chosen
+	denial     *denial // ends the request if no other endpoint is tried
 }
 
-// attempt sends the request to one server.
+// attempt chooses an endpoint and sends the request to it.
 func (h *Handler) attempt(ctx context.Context, w http.ResponseWriter, q *request) outcome {
 	view := h.View()
 	now := h.Clock.Now()
-	b := h.choice(q, view.Config.Service(q.service))
+	b := h.balanceRequest(q, view.Config.Service(q.service))
 	ticket, err := h.Placer.Place(ctx, view.Endpoints[q.service], b, q.deadline, now)
 	if err != nil {
-		return outcome{unplaced: true, denial: h.notPlaced(q, err)}
+		return outcome{noEndpoint: true, denial: h.notPlaced(q, err)}
 	}
-	if ctx.Err() != nil { // the client left while a server was chosen
+	if ctx.Err() != nil { // the client disconnected while an endpoint was chosen
 		ticket.Done(balance.Cancelled, h.Clock.Now())
 		return outcome{denial: h.ended(ctx, q)}
 	}
-	now = h.Clock.Now() // the machine may have been suspended while a server was chosen
+	now = h.Clock.Now() // the host may have been suspended while an endpoint was chosen
 	if !now.Before(q.deadline) {
 		ticket.Done(balance.Cancelled, now)
-		return outcome{denial: h.late(q)}
+		return outcome{denial: h.deadlinePassed(q)}
 	}
 	if d := h.stillAllowed(q); d != nil {
 		ticket.Done(balance.Cancelled, h.Clock.Now())
 		return outcome{denial: d}
 	}
-	q.avoid = append(q.avoid, ticket.Endpoint.ID)
-	call := h.call(q, view, ticket, now)
+	q.chosen = append(q.chosen, ticket.Endpoint.ID)
+	call := h.newCall(q, view, ticket, now)
 	resp, err := h.Backends.Send(ctx, call)
 	if err != nil {
 		return h.failed(ctx, q, ticket, fault.As(err))
@@ -165,87 +166,87 @@
 	if resp.Answer.NotRun && resp.Status != http.StatusBadRequest {
 		ticket.Done(balance.Refused, h.Clock.Now())
 		return outcome{again: true, denial: &denial{
-			status: h.unless(q, http.StatusServiceUnavailable), why: "the server refused", wait: waitFull,
+			status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "endpoint refused the request", wait: waitRetry,
 		}}
 	}
-	return h.take(ctx, w, q, ticket, resp)
+	return h.handleResponse(ctx, w, q, ticket, resp)
 }
 
-// unless returns a promising status, or 502 if the request may have run.
-func (h *Handler) unless(q *request, status int) int {
-	if q.mayRun {
+// statusUnlessRun returns status, which claims that the request was not run, or 502 if it may have run.
+func (h *Handler) statusUnlessRun(q *request, status int) int {
+	if q.mayHaveRun {
 		return http.StatusBadGateway
 	}
 	return status
 }
 
-// notPlaced is the denial for a request that no server was chosen for.
+// notPlaced is the denial for a request that no endpoint was chosen for.
 func (h *Handler) notPlaced(q *request, err error) *denial {
 	var limit *LimitError
 	if errors.As(err, &limit) {
 		return overLimitDenial(q, limit.Verdict, h.Clock.Now())
 	}
-	var closed *ClosedError
-	if errors.As(err, &closed) {
-		// A client that comes back sooner may reach another node, which may send.
-		wait := min(max(waitFull, h.Clock.Until(closed.Until)), waitNone)
-		return &denial{status: h.unless(q, http.StatusServiceUnavailable), why: "all servers asked for rest or are at their rate limit", wait: wait}
+	var throttled *ClosedError
+	if errors.As(err, &throttled) {
+		// A client that retries sooner may reach another instance, which may have an endpoint for it.
+		wait := min(max(waitRetry, h.Clock.Until(throttled.Until)), waitNoEndpoint)
+		return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "all endpoints asked for a pause or are at their rate limit", wait: wait}
 	}
-	return &denial{status: h.unless(q, http.StatusServiceUnavailable), why: "no server", wait: waitNone}
+	return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "no endpoint", wait: waitNoEndpoint}
 }
 
-// choice is what choosing a server has to know of the request.
-func (h *Handler) choice(q *request, s *policy.Service) *balance.Request {
+// balanceRequest returns the properties of the request that the choice of an endpoint depends on.
+func (h *Handler) balanceRequest(q *request, s *policy.Service) *balance.Request {
 	b := &balance.Request{
 		Service: q.service, Route: q.route.Name, ID: q.meta.ID, Tokens: q.meta.PromptTokens, Parts: q.meta.Parts,
-		Avoid: q.avoid, Once: !q.route.Idempotent(),
+		Avoid: q.chosen, Once: !q.route.Idempotent(),
 	}
 	if s != nil && s.Engine != nil {
 		b.Engine, b.Slots = true, s.Engine.Slots
 	}
-	if q.account != nil && q.account.Rate > 0 && len(q.avoid) == 0 && !q.answered {
+	if q.account != nil && q.account.Rate > 0 && len(q.chosen) == 0 && !q.answered {
 		b.Account, b.Units = q.account.Name, q.units
 	}
 	return b
 }
 
-func (h *Handler) call(q *request, view *View, ticket *balance.Ticket, now time.Time) *backend.Call {
+func (h *Handler) newCall(q *request, view *View, ticket *balance.Ticket, now time.Time) *backend.Call {
 	c := &backend.Call{
 		Endpoint: ticket.Endpoint, Method: q.method, URI: q.uri, Host: q.host,
 		Header: q.header.Clone(), Body: q.body, ID: q.meta.ID,
 	}
 	if !q.route.Idempotent() {
-		c.MaxIdle = onceIdle
+		c.MaxIdle = maxIdleNonIdempotent
 	}
 	if s := view.Config.Service(q.service); s != nil && s.MaxConnections > 0 {
-		c.MaxConns = max(spareConns, s.MaxConnections/max(1, view.Instances))
+		c.MaxConns = max(minConns, s.MaxConnections/max(1, view.Instances))
 	}
 	h.Protocol.Outgoing(c.Header, Outgoing{
-		Endpoint: ticket.Endpoint.StoreID(), Account: q.accountName(), Left: q.deadline.Sub(now), Priority: q.priority, LastEventID: q.event,
+		Endpoint: ticket.Endpoint.StoreID(), Account: q.accountName(), Left: q.deadline.Sub(now), Priority: q.priority, LastEventID: q.lastEventID,
 	})
 	return c
 }
 
-// failed tells what follows from an attempt that brought no answer.
+// failed handles an attempt that got no response, and decides whether to try another endpoint.
 func (h *Handler) failed(ctx context.Context, q *request, ticket *balance.Ticket, f *fault.Error) outcome {
 	now := h.Clock.Now()
 	if f.Run == fault.NotRun {
 		if errors.Is(f, syscall.ECONNREFUSED) {
 			h.Quarantine.Unreached(ticket.Endpoint)
 		}
-		ticket.Done(h.blame(ctx, f), now)
+		ticket.Done(h.resultOf(ctx, f), now)
 		if ctx.Err() != nil {
 			return outcome{denial: h.ended(ctx, q)}
 		}
-		return outcome{again: true, unreached: true, denial: &denial{
-			status: h.unless(q, http.StatusServiceUnavailable), why: "no server reached", wait: waitFull, err: f,
+		return outcome{again: true, notSent: true, denial: &denial{
+			status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "no endpoint reachable", wait: waitRetry, err: f,
 		}}
 	}
 	q.tried = append(q.tried, ticket.Endpoint.ID)
-	q.mayRun = true
+	q.mayHaveRun = true
 	ticket.Arrive()
-	ticket.Done(h.blame(ctx, f), now)
-	h.broke(ctx, q, ticket.Endpoint)
+	ticket.Done(h.resultOf(ctx, f), now)
+	h.runAborted(ctx, q, ticket.Endpoint)
 	if q.route.Kind != policy.Streaming {
 		h.began(q)
 	}
@@ -256,8 +257,8 @@
 }
 
 // began counts a run of the request for the usage reports. A server of a plain service
-// counts each of its runs. Engines count a request once, also if one fails it and another
-// runs it again.
+// counts each of its runs. Model endpoints count a request once, also if one fails it and
+// another runs it again.
 func (h *Handler) began(q *request) {
 	if q.route.Kind == policy.Streaming && q.counted {
 		return
@@ -266,8 +267,8 @@
 	h.Admission.Began(q.accountName(), 1)
 }
 
-// blame is the result that a failed attempt counts for at the server.
-func (h *Handler) blame(ctx context.Context, f *fault.Error) balance.Result {
+// resultOf returns the result of a failed attempt that counts for the endpoint's failure rate.
+func (h *Handler) resultOf(ctx context.Context, f *fault.Error) balance.Result {
 	switch {
 	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errDeadline):
 		return balance.Cancelled
--- a/internal/forward/benchforward_test.go
+++ b/internal/forward/benchforward_test.go
@@ -22,16 +22,16 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// BenchmarkForward takes requests through to a server on loopback, over a kept connection.
+// BenchmarkForward measures requests to an endpoint on loopback over a kept-alive connection.
 func BenchmarkForward(b *testing.B) {
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Seal", "s")
 		_, _ = io.WriteString(w, "answer")
 	}))
-	defer server.Close()
-	addr := netip.MustParseAddrPort(server.Listener.Addr().String())
+	defer endpoint.Close()
+	addr := netip.MustParseAddrPort(endpoint.Listener.Addr().String())
 	m, err := metrics.New(metrics.Gauges{Records: zero, Claims: zero, Table: zero, Members: zero})
 	if err != nil {
 		b.Fatal(err)
@@ -47,7 +47,7 @@
 	c := clock.New(clock.System{})
 	h := New(Options{
 		Protocol: plainProtocol{}, View: func() *View { return view }, Backends: backend.New(backend.Options{Net: netx.TCP{}, Protocol: plainProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{}), Clock: c}),
-		Placer: alone{balance.NewTracker()}, Admission: &freely{budget: 5}, Quarantine: noSuspects{}, Clock: c, Log: zap.NewNop(), Metrics: m,
+		Placer: localPlacer{balance.NewTracker()}, Admission: &fakeAdmission{budget: 5}, Quarantine: noQuarantine{}, Clock: c, Log: zap.NewNop(), Metrics: m,
 		CertainFor: 2 * time.Second,
 	})
 	b.ReportAllocs()
--- a/internal/forward/door.go
+++ b/internal/forward/door.go
@@ -24,7 +24,7 @@
 	}
 	ctx, deadline := h.Clock.WithDeadline(r.Context(), q.deadline, errDeadline)
 	defer deadline.Stop()
-	if d := h.read(w, q, r); d != nil {
+	if d := h.readRequest(w, q, r); d != nil {
 		h.refuse(w, q, d)
 		return
 	}
@@ -35,14 +35,14 @@
 	h.run(ctx, w, q)
 }
 
-// errDeadline ends a request whose time is over.
-var errDeadline = errors.New("the time for the request is over")
+// errDeadline is the cancellation cause of a request whose deadline has passed.
+var errDeadline = errors.New("the deadline of the request has passed")
 
-// identify finds the route and the client account of a request.
+// identify finds the route and the client account of a request, and sets its deadline.
 func (h *Handler) identify(q *request, r *http.Request) *denial {
 	c := q.view.Config
 	if c == nil {
-		return notReady("no configuration yet")
+		return notReady("no configuration read yet")
 	}
 	age := q.arrived.Sub(q.view.ProvedAt)
 	host := r.Host
@@ -52,19 +52,19 @@
 	q.route = c.Match(host, r.URL.Path)
 	if q.route == nil {
 		if age > h.CertainFor {
-			return notReady("no route in a configuration that may be old")
+			return notReady("no route in a configuration that may be outdated")
 		}
 		return &denial{status: http.StatusNotFound, why: "no route"}
 	}
 	if c.HasAccounts() && !q.route.Public {
 		if q.arrived.After(q.view.KeysUntil) {
-			return notReady("the configuration may be old, and a key taken away")
+			return notReady("the configuration may be outdated and the API key revoked")
 		}
 		if q.account = c.Account(q.meta.Key); q.account == nil {
 			if age > h.CertainFor {
-				return notReady("key unknown to a configuration that may be old")
+				return notReady("unknown API key in a configuration that may be outdated")
 			}
-			return &denial{status: http.StatusUnauthorized, why: "unknown key"}
+			return &denial{status: http.StatusUnauthorized, why: "unknown API key"}
 		}
 	}
 	q.priority = c.Priority(q.account, q.route)
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// read takes in the whole body, so that nothing is sent for a client that
-// leaves halfway, and so that it can be sent again.
-func (h *Handler) read(w http.ResponseWriter, q *request, r *http.Request) *denial {
+// readRequest reads the whole body before anything is sent to an endpoint: a client that disconnects
+// halfway then causes no work, and the body can be sent again on a retry.
+func (h *Handler) readRequest(w http.ResponseWriter, q *request, r *http.Request) *denial {
 	q.header = r.Header.Clone()
 	h.Protocol.Clean(q.header)
 	if r.Body == nil || r.Body == http.NoBody {
@@ -88,13 +88,13 @@
 	}
 	limit := q.view.Config.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	if r.ContentLength > limit {
 		return tooLarge()
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(h.Clock.Steady(q.deadline)) // not supported by a recorder in a test
+	_ = control.SetReadDeadline(h.Clock.Steady(q.deadline)) // fails for the response recorder of tests, which has no deadlines
 	body, err := readBody(r, limit)
 	if err != nil {
 		var large *http.MaxBytesError
@@ -103,17 +103,17 @@
 		case errors.As(err, &large):
 			return tooLarge()
 		case errors.As(err, &timeout) && timeout.Timeout():
-			return &denial{status: http.StatusRequestTimeout, why: "the body did not come in time", close: true}
+			return &denial{status: http.StatusRequestTimeout, why: "timed out reading the request body", close: true}
 		}
-		return &denial{gone: true, why: "the client left before its body was whole"}
+		return &denial{clientGone: true, why: "client disconnected before its body was read"}
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	q.body = body
 	return nil
 }
 
-// defaultBody bounds a body where the configuration does not.
-const defaultBody = 4 << 20
+// defaultMaxBody is the limit of a body, in bytes, if the configuration has none.
+const defaultMaxBody = 4 << 20
 
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	body := http.MaxBytesReader(nil, r.Body, limit)
@@ -125,7 +125,7 @@
 	return io.ReadAll(body)
 }
 
-// admit counts the request against its client account's limit.
+// admit charges the request to the limit of its client account.
 func (h *Handler) admit(q *request) *denial {
 	q.units = 1
 	if q.account == nil {
@@ -147,7 +147,7 @@
 	return overLimitDenial(q, v, now)
 }
 
-// overLimitDenial refuses a request that the limit of its client account does not bear.
+// overLimitDenial is the denial for a request over the limit of its client account.
 func overLimitDenial(q *request, v quota.Verdict, now time.Time) *denial {
 	return &denial{
 		status: http.StatusTooManyRequests, why: overLimit(v), wait: v.RetryAt.Sub(now),
@@ -155,10 +155,11 @@
 	}
 }
 
-// overLimit says which of two limits a refused request met.
+// overLimit returns which of two limits a request exceeded: that of the client account over all
+// instances, or the part of it that this instance may grant by itself.
 func overLimit(v quota.Verdict) string {
 	if v.Need > 0 {
-		return "limit of the client account"
+		return "over the limit of the client account"
 	}
-	return "this instance's part of the client account's limit"
+	return "over this instance's share of the client account's limit"
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,10 +1,10 @@
-// Package forward takes a client's request through to a server's answer.
+// Package forward proxies client requests to endpoints.
 //
-// A request passes five steps: the door (door.go) reads and identifies it,
-// admission checks its client account's limit, a server is chosen, an attempt is made
-// (attempt.go), and the answer is passed on (answer.go, stream.go). A refusal
-// says "not run" only when that is certain (refuse.go). Nothing is kept of a
-// request once it is answered.
+// A request passes five steps: its headers and body are read and its route and client account
+// are looked up (door.go), admission control checks the limit of the client account, an
+// endpoint is chosen, an attempt is made (attempt.go), and the response is passed on (answer.go,
+// stream.go). An error response claims that the request was not run only when that is certain
+// (refuse.go). No state of a request is kept after its response.
 //
 // Handler is safe for concurrent use.
 package forward
@@ -32,113 +32,119 @@
 // Part is a piece of a prompt.
 type Part = balance.Part
 
-// Meta is what a client says of its request.
+// Meta is what the headers of a client's request state.
 type Meta struct {
 	ID           string
-	Key          string // names the client account
+	Key          string // API key; identifies the client account
 	Allowed      time.Duration
-	HasDeadline  bool // Allowed was told
-	HasTokens    bool // the two below were told
+	HasDeadline  bool // whether the client set Timeout
+	HasTokens    bool // whether the client stated the two token counts
 	PromptTokens int
-	OutputTokens int // at the most
+	OutputTokens int // upper bound
 	Parts        []Part
 	LastEventID  string
 }
 
-// Outgoing is what a server is told of a request.
+// Outgoing holds the values that are sent to an endpoint as headers of a forwarded request.
 type Outgoing struct {
 	Endpoint    string
 	Account     string
-	Left        time.Duration // until the answer is of no use
+	Left        time.Duration // until the deadline of the request
 	Priority    int           // 0 is the most urgent
-	LastEventID string        // the event after which a stream goes on
+	LastEventID string        // ID of the event after which a resumed stream continues
 }
 
-// Protocol reads and writes the headers of requests and answers.
+// Protocol maps the headers of requests and responses to and from Go values.
 type Protocol interface {
 	backend.Protocol
 	Request(h http.Header) Meta
-	Clean(h http.Header)       // removes what is not for a server
-	CleanAnswer(h http.Header) // removes what is not for a client
+	Clean(h http.Header)       // removes headers that must not reach an endpoint
+	CleanAnswer(h http.Header) // removes headers that must not reach a client
 	Outgoing(h http.Header, o Outgoing)
 	RetryAfter(h http.Header, wait time.Duration)
 }
 
-// View is the immutable state that requests are decided by.
+// View is an immutable snapshot of the state that requests are handled with.
 type View struct {
-	Config      *policy.Config                 // nil until one is known
-	ProvedAt    time.Time                      // sending of the read, of this node or another, that last showed Config to be the newest
-	ReadAt      time.Time                      // the same for this node's own way to the store
-	KeysUntil   time.Time                      // until when keys are honoured unless Config is proved again
-	OutageUntil time.Time                      // until when the store counts as down for all nodes
-	Listed      []registry.Endpoint            // all that do not leave, whichever requests they may get
-	Endpoints   map[string][]registry.Endpoint // that take new work, by service
-	Trial       map[string][]registry.Endpoint // that take the share of a version on trial, by service
-	Rollouts    map[string]rollout.Record      // how far each service's roll-out is
-	Instances   int                            // that run, this one included
-	Leaving     bool                           // this node is stopping
+	Config      *policy.Config                 // nil until a configuration has been read
+	ProvedAt    time.Time                      // when the read was sent, by this instance or another, that last confirmed Config as the newest
+	ReadAt      time.Time                      // the same for reads that this instance sent to the store itself
+	KeysUntil   time.Time                      // API keys are accepted until then, unless Config is confirmed again
+	OutageUntil time.Time                      // the store counts as down for all instances until then
+	Listed      []registry.Endpoint            // all endpoints that are not shutting down, whether or not they may get requests
+	Endpoints   map[string][]registry.Endpoint // endpoints that accept new requests, by service
+	Trial       map[string][]registry.Endpoint // endpoints that get the trial share of a version being rolled out, by service
+	Rollouts    map[string]rollout.Record      // state of each service's roll-out
+	Instances   int                            // number of running instances, including this one
+	Leaving     bool                           // this instance is shutting down
 }
 
-// Admission counts requests against the limits of client accounts and the budgets of
-// second tries, over all nodes.
+// Admission checks requests against the limits of client accounts, and retries against the
+// retry budgets of services. Both hold over all instances together.
 type Admission interface {
-	// Admit asks for units of an account's limit. placed says that the request is for
-	// servers that a Placer may choose by what others see of the account.
+	// Admit charges units to an account's limit. placed reports whether the request goes to
+	// model endpoints, whose Placer may ask a hub that checks the limit again with what it knows of
+	// the requests of other instances.
 	Admit(a *policy.Account, units float64, placed bool, now time.Time) quota.Verdict
+	// Refund gives back the units of a request that was not run.
 	Return(a *policy.Account, units float64)
+	// FirstTry counts the first attempt of a request, which adds to the retry budget of its service.
 	FirstTry(service string, now time.Time)
+	// SecondTry takes a retry from the budget of a service and reports whether one was left.
 	SecondTry(service string, now time.Time) bool
+	// RecordRuns counts n runs of requests for the usage reports.
 	Began(account string, n int64)
 }
 
-// Placer chooses a server for a request and counts the request there until the
-// ticket is done or a deadline. Its errors are ErrNoServer and LimitError.
+// Placer chooses an endpoint for a request and counts the request there until the ticket is
+// done or until its deadline. Its errors are ErrNoEndpoint, ThrottledError and LimitError.
 type Placer interface {
-	Place(ctx context.Context, servers []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error)
+	Place(ctx context.Context, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error)
 }
 
-// ErrNoEndpoint says that no server takes work for a service.
-var ErrNoEndpoint = errors.New("no server takes work")
+// ErrNoEndpoint reports that no endpoint of a service accepts requests.
+var ErrNoEndpoint = errors.New("no endpoint accepts requests")
 
-// LimitError says that the limit of the client account does not bear the request,
-// as a hub found that sees more of the account's requests than this node.
+// LimitError reports that a request is over the limit of its client account, as found by a hub,
+// which sees more of the account's requests than this instance does.
 type LimitError struct{ quota.Verdict }
 
 // Error implements error.
 func (e *LimitError) Error() string { return overLimit(e.Verdict) }
 
-// ClosedError says that all servers of a service that take work asked this node for rest or
-// are at their rate limit.
+// ThrottledError reports that every endpoint of a service that accepts requests either asked this
+// instance to pause or is at its rate limit.
 type ClosedError struct {
-	Until time.Time // when the first of them takes a request of this node again
+	Until time.Time // when the first of them accepts a request of this instance again
 }
 
 // Error implements error.
 func (e *ClosedError) Error() string {
-	return "all servers asked for rest or are at their rate limit until " + e.Until.Format(time.RFC3339Nano)
+	return "all endpoints asked for a pause or are at their rate limit until " + e.Until.Format(time.RFC3339Nano)
 }
 
-// Unwrap says that no server takes work.
+// Unwrap makes the error match ErrNoEndpoint.
 func (e *ClosedError) Unwrap() error { return ErrNoEndpoint }
 
-// Options are what a handler is made of.
+// Options configure a Handler.
 type Options struct {
 	Protocol  Protocol
 	View      func() *View
 	Backends  *backend.Client
 	Placer    Placer
 	Admission Admission
-	// Quarantine knows the requests under which servers end.
+	// Quarantine tracks requests that are suspected of crashing endpoints.
 	Quarantine Quarantine
 	Clock      *clock.Clock // may be nil
 	Log        *zap.Logger
 	Metrics    *metrics.Metrics
-	// CertainFor is how long after the proof of a configuration it is certain
-	// enough to deny a route or a key by it.
+	// ConfigFreshFor is the time after the confirmation of a configuration within which a
+	// route or an API key that it does not contain is definitely rejected. After it, such
+	// requests get a temporary error instead.
 	CertainFor time.Duration
 }
 
-// Handler forwards requests.
+// Handler is the http.Handler that forwards requests to endpoints.
 type Handler struct {
 	Options
 }
@@ -151,44 +157,44 @@
 	h.Metrics.Event(int(c))
 }
 
-// request is one request on its way.
+// request is the state of one request in progress.
 type request struct {
-	meta      Meta
-	arrived   time.Time
-	deadline  time.Time
-	view      *View
-	route     *policy.Route
-	account   *policy.Account // nil on a public route
-	service   string
-	units     float64
-	level     float64 // of the client account's limit, as this instance knew it once the request was admitted; units
-	priority  int
-	method    string
-	uri       string
-	host      string
-	header    http.Header // as the servers get it, but for what each is told
-	body      []byte
-	tried     []string                // servers that it was sent to
-	avoid     []string                // servers that were chosen for it, reached or not
-	mayRun    bool                    // a server may have run it
-	hash      *quarantine.Fingerprint // of the request; nil until it is needed
-	undecided bool                    // it is not known whether a server ended under its last run
-	counted   bool                    // a run of it was counted for the usage reports
-	event     string                  // id of the last event passed on
-	answered  bool                    // the head of an answer was passed on
-	first     time.Time               // when the first event was passed on
-	lastAt    time.Time               // when the last event was passed on
-	pause     time.Duration           // the longest between two events
+	meta           Meta
+	arrived        time.Time
+	deadline       time.Time
+	view           *View
+	route          *policy.Route
+	account        *policy.Account // nil on a public route
+	service        string
+	units          float64
+	level          float64 // of the client account's limit, as this instance saw it when the request was admitted; units
+	priority       int
+	method         string
+	uri            string
+	host           string
+	header         http.Header // as endpoints get it, except for the headers set for each attempt
+	body           []byte
+	tried          []string                // endpoints that it was sent to
+	chosen         []string                // endpoints that were chosen for it, whether or not they were reached
+	mayHaveRun     bool                    // an endpoint may have run it
+	fp             *quarantine.Fingerprint // fingerprint for the quarantine; nil until it is needed
+	outcomeUnknown bool                    // whether an endpoint crashed during the last run is not known
+	counted        bool                    // a run was counted for the usage reports
+	lastEventID    string                  // ID of the last event passed on
+	answered       bool                    // the response head was sent to the client
+	firstEventAt   time.Time               // when the first event was passed on
+	lastEventAt    time.Time               // when the last event was passed on
+	longestPause   time.Duration           // the longest time between two events
 }
 
-// passed notes that an event was passed on.
-func (q *request) passed(now time.Time) {
-	if q.first.IsZero() {
-		q.first = now
+// eventPassed records that an event was passed on to the client.
+func (q *request) eventPassed(now time.Time) {
+	if q.firstEventAt.IsZero() {
+		q.firstEventAt = now
 	} else {
-		q.pause = max(q.pause, now.Sub(q.lastAt))
+		q.longestPause = max(q.longestPause, now.Sub(q.lastEventAt))
 	}
-	q.lastAt = now
+	q.lastEventAt = now
 }
 
 func (q *request) accountName() string {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -31,7 +31,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// plainProtocol names the headers in the plainest way.
+// plainProtocol uses short header names.
 type plainProtocol struct{}
 
 func (plainProtocol) Answer(_ int, h http.Header) backend.Answer {
@@ -60,8 +60,8 @@
 	h.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 }
 
-// freely admits all; budget is how many second tries there may be.
-type freely struct {
+// fakeAdmission admits all requests unless refuse is set; budget is the number of retries allowed.
+type fakeAdmission struct {
 	mu       sync.Mutex
 	budget   int
 	began    int64
@@ -69,45 +69,45 @@
 	refuse   bool
 }
 
-func (a *freely) Admit(*policy.Account, float64, bool, time.Time) quota.Verdict {
+func (a *fakeAdmission) Admit(*policy.Account, float64, bool, time.Time) quota.Verdict {
 	return quota.Verdict{OK: !a.refuse, RetryAt: time.Now().Add(time.Second)}
 }
-func (a *freely) Return(_ *policy.Account, units float64) { a.returned += units }
-func (a *freely) FirstTry(string, time.Time)              {}
-func (a *freely) SecondTry(string, time.Time) bool {
+func (a *fakeAdmission) Return(_ *policy.Account, units float64) { a.returned += units }
+func (a *fakeAdmission) FirstTry(string, time.Time)              {}
+func (a *fakeAdmission) SecondTry(string, time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.budget--
 	return a.budget >= 0
 }
-func (a *freely) Began(_ string, n int64) {
+func (a *fakeAdmission) Began(_ string, n int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.began += n
 }
 
-// noSuspects lets every request run.
-type noSuspects struct{}
+// noQuarantine is a Quarantine that lets every request run.
+type noQuarantine struct{}
 
-func (noSuspects) Knows(int) bool { return false }
-func (noSuspects) Enter(context.Context, quarantine.Fingerprint, time.Time) (func(bool), error) {
+func (noQuarantine) Knows(int) bool { return false }
+func (noQuarantine) Enter(context.Context, quarantine.Fingerprint, time.Time) (func(bool), error) {
 	return nil, nil
 }
-func (noSuspects) Allows(quarantine.Fingerprint) error { return nil }
-func (noSuspects) Broke(context.Context, registry.Endpoint, quarantine.Fingerprint, string) bool {
+func (noQuarantine) Allows(quarantine.Fingerprint) error { return nil }
+func (noQuarantine) Broke(context.Context, registry.Endpoint, quarantine.Fingerprint, string) bool {
 	return false
 }
-func (noSuspects) Left(registry.Endpoint, quarantine.Fingerprint, string) {}
-func (noSuspects) Unreached(registry.Endpoint)                            {}
-func (noSuspects) CameThrough(quarantine.Fingerprint, registry.Endpoint)  {}
+func (noQuarantine) Left(registry.Endpoint, quarantine.Fingerprint, string) {}
+func (noQuarantine) Unreached(registry.Endpoint)                            {}
+func (noQuarantine) CameThrough(quarantine.Fingerprint, registry.Endpoint)  {}
 
-// world is a handler with scripted servers.
-type world struct {
+// fixture is a handler with scripted endpoints.
+type fixture struct {
 	handler *Handler
-	admit   *freely
+	admit   *fakeAdmission
 	mu      sync.Mutex
-	got     []http.Header // what servers were sent; guarded by mu
-	closed  []time.Time   // when connections that servers kept open were closed from here; guarded by mu
+	got     []http.Header // headers of the requests that endpoints got; guarded by mu
+	closed  []time.Time   // when the connections that endpoints kept open were closed by the handler; guarded by mu
 }
 
 const testHost = "shop.example"
@@ -136,21 +136,22 @@
 	return c
 }
 
-// newWorld starts one server for each script; an answer "" closes the
-// connection, "hang" keeps silent. An address without a script is dead.
-func newWorld(t *testing.T, dead int, scripts ...string) *world {
+// newFixture starts one endpoint for each script, which is the response that it sends. "" closes
+// the connection, "hang" never answers. Further endpoints, dead of them, refuse connections. The
+// scripts are used in the order in which requests arrive, at whichever endpoint.
+func newFixture(t *testing.T, dead int, scripts ...string) *fixture {
 	t.Helper()
 	mem := netx.NewMem(func(string, string) time.Duration { return time.Millisecond })
-	w := &world{admit: &freely{budget: 5}}
-	var servers []registry.Endpoint
+	w := &fixture{admit: &fakeAdmission{budget: 5}}
+	var endpoints []registry.Endpoint
 	turn := 0
 	for i := range dead + len(scripts) {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)
-		servers = append(servers, registry.Endpoint{ID: fmt.Sprint("s", i), Service: "svc", Addr: addr})
+		endpoints = append(endpoints, registry.Endpoint{ID: fmt.Sprint("s", i), Service: "svc", Addr: addr})
 		if i < dead {
 			continue
 		}
-		l, err := mem.Site(fmt.Sprint("server", i)).Listen(addr)
+		l, err := mem.Site(fmt.Sprint("endpoint", i)).Listen(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,10 +175,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	view := &View{Config: testConfig(t), ProvedAt: time.Now(), KeysUntil: time.Now().Add(4 * time.Second), Endpoints: map[string][]registry.Endpoint{"svc": servers}, Instances: 1}
+	view := &View{Config: testConfig(t), ProvedAt: time.Now(), KeysUntil: time.Now().Add(4 * time.Second), Endpoints: map[string][]registry.Endpoint{"svc": endpoints}, Instances: 1}
 	w.handler = New(Options{
-		Protocol: plainProtocol{}, View: func() *View { return view }, Backends: backend.New(backend.Options{Net: mem.Site("node"), Protocol: plainProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{})}),
-		Placer: alone{balance.NewTracker()}, Admission: w.admit, Quarantine: noSuspects{}, Log: zap.NewNop(), Metrics: m,
+		Protocol: plainProtocol{}, View: func() *View { return view }, Backends: backend.New(backend.Options{Net: mem.Site("instance"), Protocol: plainProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{})}),
+		Placer: localPlacer{balance.NewTracker()}, Admission: w.admit, Quarantine: noQuarantine{}, Log: zap.NewNop(), Metrics: m,
 		CertainFor: 2 * time.Second,
 	})
 	return w
@@ -185,7 +186,7 @@
 
 func zero() int64 { return 0 }
 
-func (w *world) serve(c net.Conn, next func() string) {
+func (w *fixture) serve(c net.Conn, next func() string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	req, err := http.ReadRequest(r)
@@ -209,22 +210,22 @@
 	}
 }
 
-// keepOpen waits until a connection is closed from the other side.
-func (w *world) keepOpen(r io.Reader) {
+// keepOpen waits until the handler closes the connection.
+func (w *fixture) keepOpen(r io.Reader) {
 	_, _ = io.Copy(io.Discard, r)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = append(w.closed, time.Now())
 }
 
-// ask sends a request and returns the answer; cut says that the connection was
-// closed in its middle.
-func (w *world) ask(path, key string) (rec *httptest.ResponseRecorder, cut bool) {
+// ask sends a request and returns the response; cut reports whether the handler aborted the
+// connection in the middle of it.
+func (w *fixture) ask(path, key string) (rec *httptest.ResponseRecorder, cut bool) {
 	return w.askUntil(context.Background(), path, key)
 }
 
-// askUntil is ask for a caller that leaves when ctx ends.
-func (w *world) askUntil(ctx context.Context, path, key string) (rec *httptest.ResponseRecorder, cut bool) {
+// askUntil is ask for a client that disconnects when ctx ends.
+func (w *fixture) askUntil(ctx context.Context, path, key string) (rec *httptest.ResponseRecorder, cut bool) {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://"+testHost+path, strings.NewReader("body"))
 	r.Header.Set("Id", "7")
 	r.Header.Set("Key", key)
@@ -245,8 +246,8 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nId: 7\r\nSeal: s%d\r\nContent-Length: %d\r\n\r\n%s", status, status, len(body), body)
 }
 
-// events is a stream of the events from first to last; whole says whether its
-// end is sent.
+// events is a stream of the events from first to last; whole says whether the end of the
+// stream follows, or the beginning of an event and the end of the connection.
 func events(first, last int, whole bool) string {
 	var b strings.Builder
 	b.WriteString("HTTP/1.1 200 OK\r\nId: 7\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -257,12 +258,12 @@
 	if whole {
 		b.WriteString("0\r\n\r\n")
 	} else {
-		b.WriteString("8\r\nid: 99\nd\r\n" + thenClose) // torn inside an event
+		b.WriteString("8\r\nid: 99\nd\r\n" + thenClose) // cut off inside an event
 	}
 	return b.String()
 }
 
-// thenClose ends an answer after which the server closes the connection.
+// thenClose at the end of a script makes the endpoint close the connection.
 const thenClose = "<close>"
 
 const (
@@ -271,30 +272,30 @@
 	garbage  = "\x00\x01 nonsense\r\n\r\n"
 )
 
-// alone places requests by what one node knows.
-type alone struct{ *balance.Tracker }
+// localPlacer chooses endpoints by the state of one instance, without hubs.
+type localPlacer struct{ *balance.Tracker }
 
-func (a alone) Place(_ context.Context, servers []registry.Endpoint, r *balance.Request, _, now time.Time) (*balance.Ticket, error) {
-	ticket, ok := a.Pick(servers, r, now)
+func (a localPlacer) Place(_ context.Context, endpoints []registry.Endpoint, r *balance.Request, _, now time.Time) (*balance.Ticket, error) {
+	ticket, ok := a.Pick(endpoints, r, now)
 	if !ok {
 		return nil, ErrNoEndpoint
 	}
 	return ticket, nil
 }
 
-// overfull places nothing, for the limit does not bear it.
-type overfull struct{}
+// limitPlacer refuses to place any request because of the limit of the client account.
+type limitPlacer struct{}
 
-func (overfull) Place(context.Context, []registry.Endpoint, *balance.Request, time.Time, time.Time) (*balance.Ticket, error) {
+func (limitPlacer) Place(context.Context, []registry.Endpoint, *balance.Request, time.Time, time.Time) (*balance.Ticket, error) {
 	return nil, &LimitError{quota.Verdict{Need: 1, RetryAt: time.Now().Add(250 * time.Millisecond)}}
 }
 
-// A request that is not placed because of a limit gets 429, and when to come back; its
-// units are given back.
+// A request that is not placed because of a limit gets status 429 with Retry-After, and its units
+// are refunded.
 func TestALimitThatTheInstanceDidNotSee(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0, sealed(200, "hi"))
-	w.handler.Placer = overfull{}
+	w := newFixture(t, 0, sealed(200, "hi"))
+	w.handler.Placer = limitPlacer{}
 	rec, _ := w.ask("/safe/a", "k")
 	is.Equal(rec.Code, http.StatusTooManyRequests)
 	is.True(rec.Header().Get("Retry-After") != "")
@@ -310,24 +311,24 @@
 		scripts []string
 		budget  int
 		status  int
-		sent    int // requests that reached a server
+		sent    int // requests that reached an endpoint
 		retry   bool
 	}{
 		{name: "an answer is passed on", path: "/once/a", scripts: []string{sealed(200, "hi")}, budget: 5, status: 200, sent: 1},
-		{name: "a failure is the server's", path: "/once/a", scripts: []string{sealed(500, "no")}, budget: 5, status: 500, sent: 1},
+		{name: "a failure is the endpoint's", path: "/once/a", scripts: []string{sealed(500, "no")}, budget: 5, status: 500, sent: 1},
 		{name: "what may have run is not repeated", path: "/once/a", scripts: []string{"", sealed(200, "hi")}, budget: 5, status: 502, sent: 1},
 		{name: "garbage may have run", path: "/once/a", scripts: []string{garbage, sealed(200, "hi")}, budget: 5, status: 502, sent: 1},
 		{name: "a refusal is not a run", path: "/once/a", scripts: []string{refused, sealed(200, "hi")}, budget: 5, status: 200, sent: 2},
 		{name: "a refusal without a budget", path: "/once/a", scripts: []string{refused, sealed(200, "hi")}, status: 503, sent: 1, retry: true},
-		{name: "a refusal by all servers", path: "/once/a", scripts: []string{refused, refused}, budget: 5, status: 503, sent: 2, retry: true},
+		{name: "a refusal by all endpoints", path: "/once/a", scripts: []string{refused, refused}, budget: 5, status: 503, sent: 2, retry: true},
 		{name: "a refusal, then a break", path: "/once/a", scripts: []string{refused, ""}, budget: 5, status: 502, sent: 2},
-		{name: "dead servers are passed over", path: "/once/a", dead: 1, scripts: []string{sealed(200, "hi")}, budget: 5, status: 200, sent: 1},
-		{name: "dead servers only", path: "/once/a", dead: 2, budget: 5, status: 503, retry: true},
-		{name: "no server", path: "/once/a", budget: 5, status: 503, retry: true},
+		{name: "dead endpoints are passed over", path: "/once/a", dead: 1, scripts: []string{sealed(200, "hi")}, budget: 5, status: 200, sent: 1},
+		{name: "dead endpoints only", path: "/once/a", dead: 2, budget: 5, status: 503, retry: true},
+		{name: "no endpoint", path: "/once/a", budget: 5, status: 503, retry: true},
 		{name: "a safe request is repeated", path: "/safe/a", scripts: []string{"", sealed(200, "hi")}, budget: 5, status: 200, sent: 2},
 		{name: "after a failure too", path: "/safe/a", scripts: []string{sealed(500, "no"), sealed(200, "hi")}, budget: 5, status: 200, sent: 2},
 		{name: "within the budget", path: "/safe/a", scripts: []string{sealed(500, "no"), sealed(200, "hi")}, status: 500, sent: 1},
-		{name: "a failure, and no other server", path: "/safe/a", scripts: []string{sealed(500, "no")}, budget: 5, status: 500, sent: 1},
+		{name: "a failure, and no other endpoint", path: "/safe/a", scripts: []string{sealed(500, "no")}, budget: 5, status: 500, sent: 1},
 		{name: "a success needs a seal", path: "/once/a", scripts: []string{unsealed, sealed(200, "hi")}, budget: 5, status: 502, sent: 1},
 		{name: "a promise that was not made", path: "/once/a", scripts: []string{sealed(503, "")}, budget: 5, status: 502, sent: 1},
 		{name: "no answer in time", path: "/once/a", scripts: []string{"hang"}, budget: 5, status: 504, sent: 1},
@@ -338,7 +339,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, test.dead, test.scripts...)
+				w := newFixture(t, test.dead, test.scripts...)
 				w.admit.budget = test.budget
 				begun := time.Now()
 				rec, cut := w.ask(test.path, "k")
@@ -346,7 +347,7 @@
 				is.Equal(rec.Code, test.status)
 				is.Equal(len(w.got), test.sent)
 				is.Equal(rec.Header().Get("Retry-After") != "", test.retry)
-				is.True(time.Since(begun) < 1600*time.Millisecond) // the final answer comes at once
+				is.True(time.Since(begun) < 1600*time.Millisecond) // an error response is sent at once
 				if test.status == 503 {
 					is.Equal(w.admit.returned, 1.0)
 				}
@@ -356,7 +357,8 @@
 	}
 }
 
-// Usage is told as the servers count it: plain services by run, engines by request.
+// Runs are counted like endpoints count them: by run for plain services, by request for model
+// endpoints.
 func TestRunsAreCountedAsServersCountThem(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -372,7 +374,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, 0, test.scripts...)
+				w := newFixture(t, 0, test.scripts...)
 				w.ask(test.path, "k")
 				is.Equal(w.admit.began, test.began)
 				w.handler.Backends.CloseIdle()
@@ -384,7 +386,7 @@
 func TestADeadlineIsPassedOnAsWhatIsLeft(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0, sealed(500, "no"), sealed(200, "hi"))
+		w := newFixture(t, 0, sealed(500, "no"), sealed(200, "hi"))
 		w.ask("/safe/a", "k")
 		first, err := strconv.Atoi(w.got[0].Get("Deadline"))
 		is.NoErr(err)
@@ -392,7 +394,7 @@
 		is.NoErr(err)
 		is.True(first <= 1500 && second < first && second > 1400)
 		is.Equal(w.got[0].Get("Account"), "north")
-		is.Equal(w.got[0].Get("Key"), "") // the key is not shown
+		is.Equal(w.got[0].Get("Key"), "") // the API key is not passed on
 		is.True(w.got[0].Get("Server") != w.got[1].Get("Server"))
 		w.handler.Backends.CloseIdle()
 	})
@@ -409,14 +411,14 @@
 	}{
 		{"a stream is passed on", "/stream/a", []string{events(1, 9, true)}, 9, false, 1},
 		{"a broken one looks broken", "/stream/a", []string{events(1, 4, false), events(1, 9, true)}, 4, true, 1},
-		{"another server goes on", "/resume/a", []string{events(1, 4, false), events(5, 9, true)}, 9, false, 2},
+		{"another endpoint goes on", "/resume/a", []string{events(1, 4, false), events(5, 9, true)}, 9, false, 2},
 		{"events that come twice are dropped", "/resume/a", []string{events(1, 4, false), events(3, 9, true)}, 9, false, 2},
 		{"nobody goes on", "/resume/a", []string{events(1, 4, false), refused, refused, refused, refused, refused, refused}, 4, true, 6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, 0, test.scripts...)
+				w := newFixture(t, 0, test.scripts...)
 				w.admit.budget = 9
 				rec, cut := w.ask(test.path, "k")
 				is.Equal(cut, test.cut)
@@ -424,7 +426,7 @@
 				for i := 1; i <= test.last; i++ {
 					fmt.Fprintf(&want, "id: %d\ndata: x\n\n", i)
 				}
-				is.Equal(rec.Body.String(), want.String()) // each event once, whole, in order
+				is.Equal(rec.Body.String(), want.String()) // each event once, complete, in order
 				is.Equal(len(w.got), test.sent)
 				if test.sent == 2 {
 					is.Equal(w.got[1].Get("Last"), "4")
@@ -438,17 +440,17 @@
 func TestKeysAreHonouredOnlyWhileTheConfigurationIsProved(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0, sealed(200, "hi"), sealed(200, "hi"))
+		w := newFixture(t, 0, sealed(200, "hi"), sealed(200, "hi"))
 		rec, _ := w.ask("/once/a", "unknown")
 		is.Equal(rec.Code, 401)
-		time.Sleep(3 * time.Second) // certain no more
+		time.Sleep(3 * time.Second) // the configuration is no longer fresh enough to reject
 		rec, _ = w.ask("/once/a", "unknown")
 		is.Equal(rec.Code, 503)
 		rec, _ = w.ask("/none/a", "k")
 		is.Equal(rec.Code, 503)
 		rec, _ = w.ask("/once/a", "k")
 		is.Equal(rec.Code, 200)
-		time.Sleep(2 * time.Second) // the key may have been taken away
+		time.Sleep(2 * time.Second) // the key may have been revoked
 		rec, _ = w.ask("/once/a", "k")
 		is.Equal(rec.Code, 503)
 		is.True(rec.Header().Get("Retry-After") != "")
@@ -459,7 +461,7 @@
 func TestALimitIsAnsweredWithATimeToComeBack(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0, sealed(200, "hi"))
+		w := newFixture(t, 0, sealed(200, "hi"))
 		w.admit.refuse = true
 		rec, _ := w.ask("/once/a", "k")
 		is.Equal(rec.Code, 429)
@@ -471,7 +473,7 @@
 func TestABodyOverTheLimit(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0, sealed(200, "hi"))
+		w := newFixture(t, 0, sealed(200, "hi"))
 		r := httptest.NewRequest(http.MethodPost, "http://"+testHost+"/once/a", strings.NewReader(strings.Repeat("x", 1001)))
 		r.Header.Set("Key", "k")
 		rec := httptest.NewRecorder()
@@ -481,7 +483,8 @@
 	})
 }
 
-// Events may hold anything and break anywhere: what is passed on is whole.
+// Whatever the content of events and wherever a stream is cut, nextEvent returns only complete
+// events.
 func FuzzNextEvent(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\r\n\r\ndata: x\r\n\r\n")
--- a/internal/forward/leave_test.go
+++ b/internal/forward/leave_test.go
@@ -14,35 +14,35 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// slowPlacer takes its time to choose, as a hub that is asked.
+// slowPlacer delays each choice, like a request to a hub.
 type slowPlacer struct {
 	Placer
 	takes time.Duration
 }
 
 // Place implements Placer.
-func (p slowPlacer) Place(ctx context.Context, servers []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
+func (p slowPlacer) Place(ctx context.Context, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(p.takes):
 	}
-	return p.Placer.Place(ctx, servers, r, until, now)
+	return p.Placer.Place(ctx, endpoints, r, until, now)
 }
 
-// seen returns how many requests servers were sent, and when connections that they kept
+// seen returns how many requests reached endpoints, and when the connections that they kept
 // open were closed.
-func (w *world) seen() (sent int, closed []time.Time) {
+func (w *fixture) seen() (sent int, closed []time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.got), slices.Clone(w.closed)
 }
 
-// A caller leaves: the server's connection is closed at once and nothing is sent any
-// more, wherever the request is.
+// When a client disconnects, the connection to the endpoint is closed at once and nothing more
+// is sent, in any phase of the request.
 func TestACallerThatLeaves(t *testing.T) {
 	const (
-		leaves = 200 * time.Millisecond // after it asked
-		soon   = 50 * time.Millisecond  // after that no server works for it
+		leaves = 200 * time.Millisecond // after the request was sent
+		soon   = 50 * time.Millisecond  // after that no endpoint works on it
 	)
 	paused := strings.TrimSuffix(events(1, 4, true), "0\r\n\r\n")
 	for _, test := range []struct {
@@ -52,16 +52,16 @@
 		placing time.Duration
 		sent    int
 	}{
-		{name: "while a server works", path: "/once/a", scripts: []string{"hang"}, sent: 1},
-		{name: "while a server works that may be repeated", path: "/safe/a", scripts: []string{"hang", sealed(200, "hi")}, sent: 1},
+		{name: "while an endpoint works", path: "/once/a", scripts: []string{"hang"}, sent: 1},
+		{name: "while an endpoint works that may be repeated", path: "/safe/a", scripts: []string{"hang", sealed(200, "hi")}, sent: 1},
 		{name: "before the first event", path: "/resume/a", scripts: []string{"hang", events(1, 9, true)}, sent: 1},
 		{name: "in the middle of a stream", path: "/resume/a", scripts: []string{paused, events(5, 9, true)}, sent: 1},
-		{name: "while a server is chosen", path: "/resume/a", scripts: []string{events(1, 9, true)}, placing: time.Second},
+		{name: "while an endpoint is chosen", path: "/resume/a", scripts: []string{events(1, 9, true)}, placing: time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, 0, test.scripts...)
+				w := newFixture(t, 0, test.scripts...)
 				if test.placing > 0 {
 					w.handler.Placer = slowPlacer{w.handler.Placer, test.placing}
 				}
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -12,43 +12,46 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// Quarantine keeps requests from running under which servers end.
+// Quarantine holds back requests that are suspected of crashing endpoints. Requests are
+// identified by their fingerprints.
 type Quarantine interface {
-	// Knows reports whether a request of this length may be under suspicion. Only then is
-	// its fingerprint worked out.
+	// MaySuspect reports whether a request of this length may be under suspicion. The
+	// fingerprint is computed only then.
 	Knows(length int) bool
-	// Enter asks whether a request may run until a deadline. leave, which may be nil, is
-	// called when its run is over, and told whether it is known what became of it. A
-	// *quarantine.RefusedError says why it may not.
+	// Enter acquires the permit that a request under suspicion needs to run until a deadline. The
+	// caller calls leave, which may be nil, when the run is over; decided reports whether its
+	// outcome is known. The error is a *quarantine.RefusedError if the request must not run.
 	Enter(ctx context.Context, f quarantine.Fingerprint, until time.Time) (leave func(decided bool), err error)
-	// Allows looks once more whether the request may run, right before it is sent.
+	// Check tests again whether the request may run, right before it is sent.
 	Allows(f quarantine.Fingerprint) error
-	// Broke takes note that a server cut a run off, and finds out whether it has ended.
+	// RunAborted records that an endpoint aborted a run, and probes whether its process has ended.
+	// ended is also false if the endpoint was shutting down anyway or if the probe was inconclusive.
 	Broke(ctx context.Context, s registry.Endpoint, f quarantine.Fingerprint, account string) (ended bool)
-	// Left takes note that a run was given up because its client left or its time is over.
+	// RunCancelled records that a run was cancelled because its client disconnected or its deadline
+	// passed.
 	Left(s registry.Endpoint, f quarantine.Fingerprint, account string)
-	// Unreached takes note that a server's address refused a connection.
+	// ConnectionRefused records that an endpoint's address refused a connection.
 	Unreached(s registry.Endpoint)
-	// CameThrough takes note that a run came to its end at a server.
+	// RunCompleted records that an endpoint completed a run.
 	CameThrough(f quarantine.Fingerprint, s registry.Endpoint)
 }
 
-// length is the length of the request's fingerprint.
+// length returns the length of the request as it is counted for its fingerprint.
 func (q *request) length() int { return quarantine.Length(q.method, q.host, q.uri, q.body) }
 
-// fingerprint tells the request apart by what a server receives. It is worked out once.
+// fingerprint returns a hash of what an endpoint receives of the request, computed once.
 func (q *request) fingerprint() quarantine.Fingerprint {
-	if q.hash == nil {
+	if q.fp == nil {
 		f := quarantine.Of(q.method, q.host, q.uri, q.body)
-		q.hash = &f
+		q.fp = &f
 	}
-	return *q.hash
+	return *q.fp
 }
 
-// enter asks whether the request may be tried, and refuses it if not.
-func (h *Handler) enter(ctx context.Context, q *request) (leave func(decided bool), d *denial) {
+// acquirePermit asks the quarantine whether the request may be tried, and returns a denial if not.
+func (h *Handler) acquirePermit(ctx context.Context, q *request) (leave func(decided bool), d *denial) {
 	if ctx.Err() != nil || !h.Quarantine.Knows(q.length()) {
-		return nil, nil // one whose client left is told so
+		return nil, nil // mayTry returns the denial for a client that disconnected
 	}
 	leave, err := h.Quarantine.Enter(ctx, q.fingerprint(), q.deadline)
 	if err != nil {
@@ -57,10 +60,10 @@
 	return leave, nil
 }
 
-// quarantined is the denial for a request that may not run.
+// quarantined is the denial for a request that the quarantine refused.
 func (h *Handler) quarantined(q *request, err error) *denial {
 	d := &denial{
-		status: h.unless(q, http.StatusServiceUnavailable), why: "servers ended under this request", wait: waitFull, err: err,
+		status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "endpoints crashed while running this request", wait: waitRetry, err: err,
 		fields: []zap.Field{zap.Stringer("fingerprint", q.fingerprint())},
 	}
 	if r, ok := quarantine.AsRefused(err); ok && !r.Until.IsZero() {
@@ -69,7 +72,7 @@
 	return d
 }
 
-// stillAllowed looks once more, after a server was chosen and before anything is sent.
+// stillAllowed asks the quarantine again, after an endpoint was chosen and before anything is sent.
 func (h *Handler) stillAllowed(q *request) *denial {
 	if !h.Quarantine.Knows(q.length()) {
 		return nil
@@ -80,34 +83,34 @@
 	return nil
 }
 
-// broke takes note that the request's run was cut off: by the server, or because its client
-// left or its time is over.
-func (h *Handler) broke(ctx context.Context, q *request, server registry.Endpoint) {
+// runAborted records that the run of the request was cut off, by the endpoint or because the client
+// disconnected or the deadline passed.
+func (h *Handler) runAborted(ctx context.Context, q *request, endpoint registry.Endpoint) {
 	if ctx.Err() != nil {
-		h.left(q, server)
+		h.runCancelled(q, endpoint)
 		return
 	}
-	q.undecided = !h.Quarantine.Broke(ctx, server, q.fingerprint(), q.accountName())
+	q.outcomeUnknown = !h.Quarantine.Broke(ctx, endpoint, q.fingerprint(), q.accountName())
 }
 
-// left takes note that the request's run was given up. The server may end under it all the
-// same, a moment after its client has left.
-func (h *Handler) left(q *request, server registry.Endpoint) {
-	q.undecided = true
-	h.Quarantine.Left(server, q.fingerprint(), q.accountName())
+// runCancelled records that the run of the request was cancelled. The endpoint may still crash because
+// of it shortly after the client has disconnected.
+func (h *Handler) runCancelled(q *request, endpoint registry.Endpoint) {
+	q.outcomeUnknown = true
+	h.Quarantine.Left(endpoint, q.fingerprint(), q.accountName())
 }
 
-// cameThrough takes note that a server has answered the request whole, if that shows that it
-// has run.
-func (h *Handler) cameThrough(q *request, server registry.Endpoint, resp *backend.Response) {
+// runCompleted records that an endpoint completed the request, if the response proves that it
+// was run.
+func (h *Handler) runCompleted(q *request, endpoint registry.Endpoint, resp *backend.Response) {
 	if provesRun(resp) && h.Quarantine.Knows(q.length()) {
-		h.Quarantine.CameThrough(q.fingerprint(), server)
+		h.Quarantine.CameThrough(q.fingerprint(), endpoint)
 	}
 }
 
-// provesRun reports whether an answer shows that the server took the request up and lived. A
-// failure does not: a server may fail a request before it begins, and one that other servers
-// end under would be free again with each such answer.
+// provesRun reports whether a response proves that the endpoint ran the request and survived it.
+// An error response does not: an endpoint may fail a request before running it, and each such
+// response would lift the suspicion from a request that other endpoints crash on.
 func provesRun(resp *backend.Response) bool {
-	return resp.Status < http.StatusInternalServerError && !promises(resp.Status) && !resp.Answer.NotRun
+	return resp.Status < http.StatusInternalServerError && !claimsNotRun(resp.Status) && !resp.Answer.NotRun
 }
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -9,23 +9,23 @@
 	"github.com/shelfcrank/shelfcrank/internal/event"
 )
 
-// denial is a final answer of this node's own.
+// denial is an error response that this instance generates.
 type denial struct {
-	status int
-	why    string
-	wait   time.Duration // when to come back; 0 when that is no use
-	close  bool          // the connection cannot be used again
-	fields []zap.Field   // inputs of the decision, for the log
-	gone   bool          // the client is no longer there: no answer
-	err    error         // the cause, if any
-	answer *answer       // a server's failure that is passed on instead; nil for an answer of this node's own
+	status     int
+	why        string
+	wait       time.Duration // value of the Retry-After header; 0 for none
+	close      bool          // the connection cannot be reused
+	fields     []zap.Field   // inputs of the decision, for the log
+	clientGone bool          // the client has disconnected: no response is sent
+	err        error         // the cause, if any
+	answer     *answer       // error response of an endpoint to pass on instead; nil to generate one
 }
 
-// Times after which a refused client may come back.
+// Values of the Retry-After header.
 const (
-	waitNotReady = 150 * time.Millisecond
-	waitFull     = 250 * time.Millisecond
-	waitNone     = 400 * time.Millisecond // no server at all
+	waitNotReady   = 150 * time.Millisecond
+	waitRetry      = 250 * time.Millisecond
+	waitNoEndpoint = 400 * time.Millisecond // no endpoint at all
 )
 
 func notReady(why string) *denial {
@@ -36,9 +36,9 @@
 	return &denial{status: http.StatusRequestEntityTooLarge, why: "body too large", close: true}
 }
 
-// promises reports whether a status tells the client that its request has not
-// run and never will.
-func promises(status int) bool {
+// claimsNotRun reports whether a status code tells the client that its request was not run and
+// will not be.
+func claimsNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -46,17 +46,17 @@
 	return false
 }
 
-// refuse gives a request its final answer, at once.
+// refuse sends the error response of a denial.
 func (h *Handler) refuse(w http.ResponseWriter, q *request, d *denial) {
-	if d.gone {
+	if d.clientGone {
 		h.logEnd(q, event.ClientLeft, 0, d.why, d.err)
 		panic(http.ErrAbortHandler)
 	}
-	if promises(d.status) && q.mayRun {
-		h.event(event.InvariantBroken, zap.String("invariant", "not run is said only when it is certain"), zap.String("request", q.meta.ID))
+	if claimsNotRun(d.status) && q.mayHaveRun {
+		h.event(event.InvariantBroken, zap.String("invariant", "a status that claims the request was not run is sent only when that is certain"), zap.String("request", q.meta.ID))
 		d.status = http.StatusBadGateway
 	}
-	if d.wait > 0 && promises(d.status) {
+	if d.wait > 0 && claimsNotRun(d.status) {
 		h.Protocol.RetryAfter(w.Header(), d.wait)
 	}
 	if d.close {
@@ -67,12 +67,12 @@
 	h.logEnd(q, event.ForwardRefused, d.status, d.why, d.err, d.fields...)
 }
 
-// logEnd writes the line that tells how a request ended and by which inputs.
+// logEnd logs how a request ended, with the inputs of the decision, and updates the metrics.
 func (h *Handler) logEnd(q *request, c event.Code, status int, why string, err error, more ...zap.Field) {
 	now := h.Clock.Now()
 	fields := []zap.Field{
 		zap.String("request", q.meta.ID), zap.Int("status", status), zap.Duration("took", now.Sub(q.arrived)),
-		zap.Strings("servers", q.tried), zap.Bool("may_have_run", q.mayRun),
+		zap.Strings("servers", q.tried), zap.Bool("may_have_run", q.mayHaveRun),
 	}
 	name := ""
 	if q.route != nil {
@@ -82,15 +82,15 @@
 	if q.view.Config != nil {
 		fields = append(fields, zap.Int64("config", q.view.Config.Version), zap.Duration("config_age", q.arrived.Sub(q.view.ProvedAt)))
 	}
-	if !q.first.IsZero() {
-		fields = append(fields, zap.Duration("first", q.first.Sub(q.arrived)), zap.Duration("pause", q.pause))
+	if !q.firstEventAt.IsZero() {
+		fields = append(fields, zap.Duration("first", q.firstEventAt.Sub(q.arrived)), zap.Duration("pause", q.longestPause))
 	}
 	if q.meta.HasTokens {
 		fields = append(fields, zap.Int("prompt", q.meta.PromptTokens), zap.Int("output", q.meta.OutputTokens))
 	}
 	if q.account != nil && q.account.Rate > 0 && c != event.ForwardRefused {
-		// Levels of the instances that differ by more than they admit in a second show that
-		// some do not count what others admit.
+		// If instances log levels that differ by more than they admit in a second, some do not
+		// count what the others admit.
 		fields = append(fields, zap.Float64("units", q.units), zap.Float64("level", q.level), zap.Int("instances", q.view.Instances))
 	}
 	if why != "" {
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -15,22 +15,22 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// suspending is a placer during whose choice the machine is suspended.
-type suspending struct {
+// suspendingPlacer suspends the host while an endpoint is chosen.
+type suspendingPlacer struct {
 	Placer
-	machine *clocktest.Machine
-	d       time.Duration
+	host *clocktest.Machine
+	d    time.Duration
 }
 
-func (s suspending) Place(ctx context.Context, servers []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
-	s.machine.Suspend()
+func (s suspendingPlacer) Place(ctx context.Context, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
+	s.host.Suspend()
 	time.Sleep(s.d)
-	s.machine.Resume()
-	return s.Placer.Place(ctx, servers, r, until, now)
+	s.host.Resume()
+	return s.Placer.Place(ctx, endpoints, r, until, now)
 }
 
-// Endpoints got requests whose time was over, with as much time left as they had before the
-// machine of the instance was suspended.
+// Endpoints got requests whose deadline had passed, with as much time left as there was before
+// the host of the instance was suspended.
 func TestNothingIsSentAfterItsTime(t *testing.T) {
 	for _, c := range []struct {
 		suspended time.Duration
@@ -39,10 +39,10 @@
 	}{{500 * time.Millisecond, http.StatusOK, 1}, {3 * time.Second, http.StatusServiceUnavailable, 0}} {
 		virtual.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 0, sealed(http.StatusOK, "hi"))
+			w := newFixture(t, 0, sealed(http.StatusOK, "hi"))
 			m := clocktest.New()
 			w.handler.Clock = clock.New(m)
-			w.handler.Placer = suspending{w.handler.Placer, m, c.suspended}
+			w.handler.Placer = suspendingPlacer{w.handler.Placer, m, c.suspended}
 			rec, _ := w.ask("/safe/a", "k")
 			is.Equal(rec.Code, c.status)
 			is.Equal(len(w.got), c.sent)
