--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,12 +1,12 @@
-// Package balance chooses the server that a request is sent to.
+// Package balance chooses the endpoint that a request is sent to.
 //
-// The choice is a pure function of what is assumed about the servers: prompt
-// tokens and requests on the way from this node and from the others, how fast
-// and how reliable a server was of late, and which parts of the prompt it
-// probably keeps. All nodes come to the same home for a shared prompt without
-// talking, by rendezvous hashing.
+// The choice is a pure function of what is known about the endpoints: prompt tokens and requests
+// in progress from this instance and from the others, recent response times and failures, and
+// which prompt prefixes an endpoint probably has in its cache. Each shared prefix has a home
+// endpoint, chosen by rendezvous hashing, so that all instances choose the same one without
+// communicating.
 //
-// Tracker keeps those beliefs and is safe for concurrent use.
+// Tracker maintains this state and is safe for concurrent use.
 package balance
 
 import (
@@ -21,32 +21,31 @@
 	"github.com/shelfcrank/shelfcrank/internal/rendezvous"
 )
 
-// Part is a piece of a prompt, shared with other requests unless it is the
-// last one.
+// Part is a piece of a prompt. All parts but the last are shared with other requests.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what the choice needs to know of a request.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	Service string
 	Route   string
 	ID      string
-	Engine  bool // it goes to a model server
+	Engine  bool // whether it goes to model endpoints
 	Tokens  int  // prompt tokens
 	Parts   []Part
-	Avoid   []string // servers that already had the request
-	Slots   int      // requests that a server of the service works on at once; 0 if the servers tell it
-	Once    bool     // it must not be repeated, so that a failure is final
-	Away    bool     // the home of its shared parts is not among the servers to choose from
+	Avoid   []string // endpoints that were already tried
+	Slots   int      // requests that an endpoint of the service handles at once; 0 if the endpoints state it
+	Once    bool     // the request must not be repeated, so that a failure is final
+	Away    bool     // the home endpoint of its shared prefix is not among the candidates
 	Account string   // client account, if it has a limit
-	Units   float64  // of the account's limit; 0 if they were granted for an earlier try
+	Units   float64  // charged to the account's limit; 0 if they were charged for an earlier attempt
 	Trial   bool     // it goes to the version of the service that is on trial
 }
 
-// shared returns the tokens of the parts that other requests have as well, and
-// the hash of them.
+// shared returns the number of tokens of the shared prefix, which is all parts but the last, and
+// its hash.
 func (r *Request) shared() (tokens int, hash uint64) {
 	if len(r.Parts) < 2 {
 		return 0, 0
@@ -60,55 +59,55 @@
 	return tokens, d.Sum64()
 }
 
-// View is what is assumed of one server at the moment of a choice.
-type View struct {
-	Endpoint registry.Endpoint
-	Open     float64       // requests on the way, from all nodes, as far as updates on them still say anything
-	Prompt   int           // prompt tokens not read yet, from all nodes
-	Holdup   float64       // how much the prompts not read yet hold up streams, from all nodes
-	Slow     float64       // how its times compare with those of its like; 1 is usual
-	Failing  float64       // share of failures of late, 0 to 1
-	Resting  bool          // failed in a row: gets no work unless all others rest too
-	Keeps    bool          // this node sent the shared parts there of late
-	Work     time.Duration // usual time of a request at the service
-	Pace     pace.Model    // of the service's model servers
-	Risk     float64       // that streams there pause for too long beside a long prompt, 0 to 1
+// Candidate is what is known of an endpoint at the moment of a choice.
+type Candidate struct {
+	Endpoint     registry.Endpoint
+	Open         float64       // requests in progress, from all instances, as far as their reports are recent enough
+	Prompt       int           // prompt tokens not processed yet, from all instances
+	Interference float64       // by the prompts not processed yet with streams, from all instances; see func interference
+	Slowdown     float64       // ratio of its response times to those expected; 1 is usual
+	FailureRate  float64       // recent share of failures, from 0 to 1
+	Ejected      bool          // after consecutive failures: gets no requests unless all others are ejected too
+	HasPrefix    bool          // this instance recently sent the shared prefix there
+	Work         time.Duration // mean response time of the service
+	Pace         pace.Model    // of the service's model endpoints
+	Risk         float64       // that streams there pause for too long beside a long prompt, from 0 to 1
 }
 
-// Weights of the choice, as times. Each is argued in docs/design/platform.md.
+// Weights of the choice, as times. The reasons for the values are in docs/design/platform.md.
 const (
-	failurePenalty = 600 * time.Millisecond // for a server that always fails
-	onceFactor     = 3                      // a request that can't be repeated fears failure more
-	homeShare      = 0.9                    // of the shared tokens that a home probably keeps
-	crowdPenalty   = 4 * time.Millisecond   // for each request on the way at an engine
-	fullPenalty    = 2 * time.Second        // for a server whose slots are all taken
-	longPrompt     = 10_000                 // tokens from which reading a prompt holds up streams beside it
-	mostHoldup     = 4.0
-	longHoldup     = 0.5                    // from which a prompt counts as long
-	holdsUp        = 60 * time.Millisecond  // for each stream that a long prompt would hold up, at full risk
-	heldUp         = 250 * time.Millisecond // for a stream beside a long prompt, at full risk
-	readAgain      = 2.0                    // for a prompt token that is kept elsewhere, times its reading: it is paid for beside the time
-	spreadShare    = 0.5                    // the same for plain services, of the time of a request
-	spread         = 25 * time.Millisecond  // at the most, drawn by request: nodes that decide at once see the same
+	failurePenalty      = 600 * time.Millisecond // for an endpoint that always fails
+	nonIdempotentFactor = 3                      // multiplies the failure penalty of a request that can't be repeated
+	homeCachedShare     = 0.9                    // of the shared tokens, probably cached at the home endpoint
+	openPenalty         = 4 * time.Millisecond   // for each request in progress at a model endpoint
+	fullPenalty         = 2 * time.Second        // for an endpoint whose slots are all taken
+	longPromptTokens    = 10_000                 // tokens from which processing a prompt delays streams beside it
+	maxInterference     = 4.0
+	longInterference    = 0.5                    // from which a prompt counts as long
+	delaysOthersPenalty = 60 * time.Millisecond  // for each stream that a long prompt would delay, at full risk
+	delayedPenalty      = 250 * time.Millisecond // for a stream beside a long prompt, at full risk
+	recomputeFactor     = 2.0                    // multiplies the processing time of uncached prompt tokens, on top of the waiting time: processing them costs money besides time
+	plainJitterShare    = 0.5                    // random part of the cost at plain services, as a fraction of the response time
+	engineJitter        = 25 * time.Millisecond  // maximum random part of the cost at model endpoints: instances that decide at the same time have the same data
 )
 
-// holdup is how much reading a prompt holds up the streams at its server, about
-// 1 for a long one. A step takes longer with each token that is read against
-// all those before it, so it grows with the square of the length.
-func holdup(tokens int) float64 {
-	x := float64(tokens) / longPrompt
-	return min(mostHoldup, x*x)
+// interference returns how much the processing of a prompt delays the streams at its endpoint, about 1
+// for a long prompt. It grows with the square of the length: a processing step takes longer with
+// each token, as attention covers all tokens before it.
+func interference(tokens int) float64 {
+	x := float64(tokens) / longPromptTokens
+	return min(maxInterference, x*x)
 }
 
-// Choice is the outcome of a choice among servers.
+// Choice is the result of a choice among endpoints.
 type Choice struct {
-	Index    int     // of the best server, -1 when there is none
-	Uncached int     // prompt tokens that it probably has to read
-	Cost     float64 // estimated wait there with penalties, in nanoseconds
+	Index    int     // of the best candidate, -1 if there is none
+	Uncached int     // prompt tokens that it probably has to process
+	Cost     float64 // estimated waiting time there with penalties, in nanoseconds
 }
 
-// Subject returns a hash of what the request shares with others, or of its id
-// if that is nothing: requests of one subject are best served together.
+// AffinityKey returns the hash of the shared prefix, or of the request's ID if it has none.
+// Requests with one key are best handled by one endpoint.
 func (r *Request) Subject() uint64 {
 	if shared, hash := r.shared(); shared > 0 {
 		return hash
@@ -116,60 +115,60 @@
 	return xxhash.Sum64String(r.ID)
 }
 
-// Choose returns the best server.
-func Choose(views []View, r *Request) Choice {
+// Choose returns the candidate with the lowest cost.
+func Choose(candidates []Candidate, r *Request) Choice {
 	shared, hash := r.shared()
 	home := -1
 	if shared > 0 && !r.Away {
-		home = homeOf(views, r, hash)
+		home = homeOf(candidates, r, hash)
 	}
 	best := Choice{Index: -1, Cost: math.Inf(1)}
-	for i := range views {
-		v := &views[i]
+	for i := range candidates {
+		v := &candidates[i]
 		if avoided(r, v.Endpoint.ID) {
 			continue
 		}
 		uncached := r.Tokens
-		if i == home || v.Keeps {
-			uncached -= int(homeShare * float64(shared))
+		if i == home || v.HasPrefix {
+			uncached -= int(homeCachedShare * float64(shared))
 		}
 		cost := v.cost(r, uncached)
 		if r.Engine {
-			cost += readAgain * float64(uncached) * v.Pace.Token
-			cost += float64(spread) * draw(r, v)
+			cost += recomputeFactor * float64(uncached) * v.Pace.Token
+			cost += float64(engineJitter) * jitter(r, v)
 		} else {
-			cost += spreadShare * float64(v.Work) * draw(r, v)
+			cost += plainJitterShare * float64(v.Work) * jitter(r, v)
 		}
-		if v.Resting {
+		if v.Ejected {
 			cost += float64(time.Hour)
 		}
-		if cost < best.Cost || cost == best.Cost && best.Index >= 0 && tie(r, v) > tie(r, &views[best.Index]) {
+		if cost < best.Cost || cost == best.Cost && best.Index >= 0 && tieBreak(r, v) > tieBreak(r, &candidates[best.Index]) {
 			best = Choice{i, uncached, cost}
 		}
 	}
 	return best
 }
 
-// cost estimates how long a request would wait at a server, with a penalty for
-// the risk that it fails there.
-func (v *View) cost(r *Request, uncached int) float64 {
+// cost estimates how long a request would wait at an endpoint, plus a penalty for the risk that
+// it fails there.
+func (v *Candidate) cost(r *Request, uncached int) float64 {
 	slots := float64(cmp.Or(r.Slots, v.Endpoint.Slots))
 	var t time.Duration
 	if r.Engine {
-		t = time.Duration(float64(v.Prompt+uncached)*v.Pace.Token + v.Open*float64(crowdPenalty))
-		t += time.Duration(v.Risk * (holdup(r.Tokens)*v.Open*float64(holdsUp) + v.Holdup*float64(heldUp)))
+		t = time.Duration(float64(v.Prompt+uncached)*v.Pace.Token + v.Open*float64(openPenalty))
+		t += time.Duration(v.Risk * (interference(r.Tokens)*v.Open*float64(delaysOthersPenalty) + v.Interference*float64(delayedPenalty)))
 	} else {
 		t = time.Duration(float64(v.Work) * (1 + v.Open/max(1, slots)))
 	}
-	cost := float64(t) * v.Slow
+	cost := float64(t) * v.Slowdown
 	if slots > 0 && v.Open >= slots {
 		cost += float64(fullPenalty) * (1 + v.Open - slots) / slots
 	}
-	fear := float64(failurePenalty) * v.Failing
+	penalty := float64(failurePenalty) * v.FailureRate
 	if r.Once {
-		fear *= onceFactor
+		penalty *= nonIdempotentFactor
 	}
-	return cost + fear
+	return cost + penalty
 }
 
 func avoided(r *Request, id string) bool {
@@ -181,24 +180,24 @@
 	return false
 }
 
-// homeOf returns the server that a shared prompt lives at.
-func homeOf(views []View, r *Request, hash uint64) int {
+// homeOf returns the index of the home endpoint of a shared prefix, -1 if all are ejected.
+func homeOf(candidates []Candidate, r *Request, hash uint64) int {
 	best, most := -1, uint64(0)
-	for i := range views {
-		if views[i].Resting {
+	for i := range candidates {
+		if candidates[i].Ejected {
 			continue
 		}
-		if s := rendezvous.Score(hash, views[i].Endpoint.ID); best < 0 || s > most {
+		if s := rendezvous.Score(hash, candidates[i].Endpoint.ID); best < 0 || s > most {
 			best, most = i, s
 		}
 	}
 	return best
 }
 
-// draw returns a number from 0 to 1 that differs by request and server.
-func draw(r *Request, v *View) float64 { return float64(tie(r, v)>>11) / (1 << 53) }
+// jitter returns a pseudorandom number from 0 to 1 that depends on the request and the endpoint.
+func jitter(r *Request, v *Candidate) float64 { return float64(tieBreak(r, v)>>11) / (1 << 53) }
 
-// tie spreads requests over servers that are equally good.
-func tie(r *Request, v *View) uint64 {
+// tieBreak returns a hash that spreads requests over endpoints of equal cost.
+func tieBreak(r *Request, v *Candidate) uint64 {
 	return rendezvous.Score(xxhash.Sum64String(r.ID), v.Endpoint.ID)
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -11,7 +11,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-func servers(n int) []registry.Endpoint {
+func endpoints(n int) []registry.Endpoint {
 	var out []registry.Endpoint
 	for i := range n {
 		out = append(out, registry.Endpoint{ID: fmt.Sprint("s", i), Service: "llm"})
@@ -19,10 +19,10 @@
 	return out
 }
 
-func prompt(id string, tokens int, subject string) *Request {
+func prompt(id string, tokens int, prefix string) *Request {
 	r := &Request{Service: "llm", ID: id, Engine: true, Slots: 64, Tokens: tokens}
-	if subject != "" {
-		r.Parts = []Part{{ID: subject, Tokens: tokens / 2}, {ID: id, Tokens: tokens - tokens/2}}
+	if prefix != "" {
+		r.Parts = []Part{{ID: prefix, Tokens: tokens / 2}, {ID: id, Tokens: tokens - tokens/2}}
 	}
 	return r
 }
@@ -32,10 +32,10 @@
 	now := time.Unix(1000, 0)
 	homes := make(map[string]int)
 	for i := range 60 {
-		subject := fmt.Sprint("subject", i)
-		a, ok := NewTracker().Pick(servers(6), prompt("a", 8000, subject), now)
+		prefix := fmt.Sprint("subject", i)
+		a, ok := NewTracker().Pick(endpoints(6), prompt("a", 8000, prefix), now)
 		is.True(ok)
-		b, ok := NewTracker().Pick(servers(6), prompt("b", 8000, subject), now)
+		b, ok := NewTracker().Pick(endpoints(6), prompt("b", 8000, prefix), now)
 		is.True(ok)
 		is.Equal(a.Endpoint.ID, b.Endpoint.ID)
 		homes[a.Endpoint.ID]++
@@ -49,38 +49,38 @@
 	tr := NewTracker()
 	used := make(map[string]bool)
 	for i := range 12 {
-		k, _ := tr.Pick(servers(4), prompt(fmt.Sprint(i), 9000, "same"), now)
+		k, _ := tr.Pick(endpoints(4), prompt(fmt.Sprint(i), 9000, "same"), now)
 		used[k.Endpoint.ID] = true
 	}
 	is.Equal(len(used), 4)
 }
 
-// Two hubs offer servers for one subject; only one of them has its home. The other
-// tells what reading the shared parts there would cost, until it has read them.
+// Two hubs offer endpoints for one shared prefix; only one of them has its home. The offer of the
+// other includes the cost of processing the prefix there, until it has done so once.
 func TestASubjectHasNoSecondHome(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	home, away := NewTracker(), NewTracker()
 	for i := range 4 {
-		at, _ := home.Pick(servers(6), prompt(fmt.Sprint("a", i), 8000, "subject"), now)
+		at, _ := home.Pick(endpoints(6), prompt(fmt.Sprint("a", i), 8000, "subject"), now)
 		r := prompt(fmt.Sprint("b", i), 8000, "subject")
 		r.Away = true
-		elsewhere, _ := away.Pick(servers(6), r, now)
+		elsewhere, _ := away.Pick(endpoints(6), r, now)
 		if i == 0 {
 			is.True(elsewhere.Uncached > 2*at.Uncached-1000)
 			is.True(at.Cost < elsewhere.Cost)
 		} else {
-			is.Equal(elsewhere.Uncached, at.Uncached) // it is kept there as well by now
+			is.Equal(elsewhere.Uncached, at.Uncached) // by now it is cached there as well
 		}
 		at.Done(Answered, now)
 		elsewhere.Done(Answered, now)
 	}
 }
 
-// homeBesideStreams has a request answered by one of four servers, starts streams of
-// short prompts there, which are read, and returns the request's ticket.
+// homeBesideStreams has a request answered by one of four endpoints, starts streams with short
+// prompts there, past their first event, and returns the ticket of the request.
 func homeBesideStreams(tr *Tracker, r *Request, streams, tokens int, now time.Time) *Ticket {
-	first, _ := tr.Pick(servers(4), r, now)
+	first, _ := tr.Pick(endpoints(4), r, now)
 	first.Read(now)
 	first.Done(Answered, now)
 	for i := range streams {
@@ -90,39 +90,39 @@
 	return first
 }
 
-// Tokens that are read again cost more than the time that this takes.
+// The cost of processing cached tokens again is higher than the time that this takes.
 func TestASubjectStaysAtItsHomeBesideSomeStreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
 	first := homeBesideStreams(tr, prompt("first", 9000, "subject"), 3, 500, now)
-	next, _ := tr.Pick(servers(4), prompt("next", 9000, "subject"), now)
+	next, _ := tr.Pick(endpoints(4), prompt("next", 9000, "subject"), now)
 	is.Equal(next.Endpoint.ID, first.Endpoint.ID)
 }
 
-// Where streams pause for too long beside long prompts, they are kept apart.
+// Where streams pause for too long beside long prompts, the two are kept apart.
 func TestAStreamKeepsAwayFromALongPrompt(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
-	seeStreams(tr, 100, true, now)
+	measureStreams(tr, 100, true, now)
 	now = now.Add(time.Hour)
-	long, _ := tr.Pick(servers(3), prompt("long", 40_000, ""), now)
+	long, _ := tr.Pick(endpoints(3), prompt("long", 40_000, ""), now)
 	for i := range 20 {
-		k, _ := tr.Pick(servers(3), prompt(fmt.Sprint(i), 500, ""), now)
+		k, _ := tr.Pick(endpoints(3), prompt(fmt.Sprint(i), 500, ""), now)
 		is.True(k.Endpoint.ID != long.Endpoint.ID)
 	}
-	next, _ := tr.Pick(servers(3), prompt("next", 30_000, ""), now)
-	is.Equal(next.Endpoint.ID, long.Endpoint.ID) // rather than hold up the streams at the others
+	next, _ := tr.Pick(endpoints(3), prompt("next", 30_000, ""), now)
+	is.Equal(next.Endpoint.ID, long.Endpoint.ID) // rather than delay the streams at the others
 }
 
-// seeStreams shows a tracker streams of which those that run beside a long prompt
-// pause for too long, or do not.
-func seeStreams(tr *Tracker, n int, late bool, now time.Time) {
+// measureStreams gives a tracker measurements of streams that run beside a long prompt; late says
+// whether they pause for too long.
+func measureStreams(tr *Tracker, n int, late bool, now time.Time) {
 	for i := range n {
-		k, _ := tr.Pick(servers(1), prompt(fmt.Sprint("seen", i), 100, ""), now)
+		k, _ := tr.Pick(endpoints(1), prompt(fmt.Sprint("seen", i), 100, ""), now)
 		k.Read(now.Add(20 * time.Millisecond))
-		long, _ := tr.Pick(servers(1), prompt(fmt.Sprint("long", i), 30_000, ""), now.Add(time.Millisecond))
+		long, _ := tr.Pick(endpoints(1), prompt(fmt.Sprint("long", i), 30_000, ""), now.Add(time.Millisecond))
 		long.Read(now.Add(400 * time.Millisecond))
 		long.Done(Cancelled, now.Add(400*time.Millisecond))
 		k.Streamed(late)
@@ -131,30 +131,29 @@
 	}
 }
 
-// Where servers read long prompts without holding up streams, a subject stays at
-// its home, though streams run there.
+// Where endpoints process long prompts without delaying streams, a shared prefix stays at its
+// home, although streams run there.
 func TestALongPromptStaysAtItsHomeWhereItHoldsUpNothing(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		is := is.New(t)
 		now := time.Unix(1000, 0)
 		tr := NewTracker()
-		seeStreams(tr, 300, late, now)
+		measureStreams(tr, 300, late, now)
 		now = now.Add(time.Hour)
 		first := homeBesideStreams(tr, prompt("first", 16_000, "subject"), 6, 300, now)
-		next, _ := tr.Pick(servers(4), prompt("next", 16_000, "subject"), now)
+		next, _ := tr.Pick(endpoints(4), prompt("next", 16_000, "subject"), now)
 		is.Equal(next.Endpoint.ID == first.Endpoint.ID, !late)
 	}
 }
 
-// Streams that are late with and without a long prompt are no reason to keep
-// them apart.
+// Streams that are late both with and without a long prompt are no reason to keep the two apart.
 func TestOnlyWhatLongPromptsDoIsARisk(t *testing.T) {
 	is := is.New(t)
 	risk := func(besideOneIn, apartOneIn int) float64 {
-		r := newHoldRisk()
+		r := newInterferenceRisk()
 		for i := range 3000 {
-			r.note(i%besideOneIn == 0, true)
-			r.note(i%apartOneIn == 0, false)
+			r.add(i%besideOneIn == 0, true)
+			r.add(i%apartOneIn == 0, false)
 		}
 		return r.risk()
 	}
@@ -167,9 +166,9 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := NewTracker(), NewTracker()
-	seeStreams(a, 20, true, now)
+	measureStreams(a, 20, true, now)
 	b.Adopt(a.Agreed())
-	seeStreams(b, 20, false, now)
+	measureStreams(b, 20, false, now)
 	is.Equal(b.Agreed(), a.Agreed())
 }
 
@@ -178,7 +177,7 @@
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
 	tr.Apply("n2", Update{Uses: map[string]Use{"s0": {Open: 9, Prompt: 90_000}, "s1": {Open: 9, Prompt: 90_000}}}, now.Add(time.Second), now)
-	k, _ := tr.Pick(servers(3), prompt("a", 1000, ""), now)
+	k, _ := tr.Pick(endpoints(3), prompt("a", 1000, ""), now)
 	is.Equal(k.Endpoint.ID, "s2")
 }
 
@@ -189,7 +188,7 @@
 	for i := range 80 {
 		tr.Apply(fmt.Sprint("n", i), Update{Demand: map[string]Demand{"llm": {Busy: 0.5, Held: 0.25}}}, now.Add(6*time.Second), now)
 	}
-	is.Equal(tr.FleetDemand("llm", now.Add(5*time.Second)), Demand{40, 20}) // a large fleet exchanges seldom
+	is.Equal(tr.FleetDemand("llm", now.Add(5*time.Second)), Demand{40, 20}) // instances of a large fleet send updates rarely
 	is.Equal(tr.FleetDemand("llm", now.Add(7*time.Second)), Demand{})
 }
 
@@ -199,10 +198,10 @@
 	tr := NewTracker()
 	r := prompt("a", 100, "")
 	r.Slots = 4
-	k, _ := tr.Pick(servers(1), r, now)
+	k, _ := tr.Pick(endpoints(1), r, now)
 	k.Read(now.Add(time.Second))
 	k.Done(Answered, now.Add(7*time.Second))
-	// Six seconds at one of four places, averaged over three.
+	// Six seconds in one of four slots, averaged over three seconds.
 	is.Equal(tr.Demand(now.Add(7 * time.Second))["llm"].Held, 0.5)
 }
 
@@ -210,28 +209,28 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
-	for range restAfter {
-		k, _ := tr.Pick(servers(1), prompt("a", 100, ""), now)
+	for range ejectAfter {
+		k, _ := tr.Pick(endpoints(1), prompt("a", 100, ""), now)
 		k.Done(Failed, now)
 	}
-	k, _ := tr.Pick(servers(2), prompt("b", 100, ""), now)
+	k, _ := tr.Pick(endpoints(2), prompt("b", 100, ""), now)
 	is.Equal(k.Endpoint.ID, "s1")
-	k, _ = tr.Pick(servers(1), prompt("c", 100, ""), now) // better than none
+	k, _ = tr.Pick(endpoints(1), prompt("c", 100, ""), now) // better than no endpoint
 	is.Equal(k.Endpoint.ID, "s0")
 	k.Done(Answered, now)
-	is.True(now.After(tr.endpoints["s0"].restUntil))
+	is.True(now.After(tr.endpoints["s0"].ejectedUntil))
 }
 
-// What is counted as on the way ends with the requests, whatever becomes of them.
+// The load of a request is removed when it ends, whatever its result.
 func TestNothingStaysOnTheWay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := NewTracker()
 		now := time.Unix(1000, 0)
 		var open []*Ticket
 		for i, n := range rapid.SliceOfN(rapid.IntRange(0, 60_000), 0, 40).Draw(t, "prompts") {
-			k, ok := tr.Pick(servers(3), prompt(fmt.Sprint(i), n, "x"), now)
+			k, ok := tr.Pick(endpoints(3), prompt(fmt.Sprint(i), n, "x"), now)
 			if !ok {
-				t.Fatal("no server")
+				t.Fatal("no endpoint")
 			}
 			open = append(open, k)
 			now = now.Add(time.Millisecond)
@@ -242,11 +241,11 @@
 			}
 			result := Result(rapid.IntRange(0, 3).Draw(t, "result"))
 			k.Done(result, now)
-			k.Done(result, now) // ends once
+			k.Done(result, now) // the second call has no effect
 		}
 		for id, s := range tr.endpoints {
-			if s.use.Open != 0 || s.use.Prompt != 0 || s.use.Holdup > 1e-9 {
-				t.Fatalf("%s: %+v", id, s.use)
+			if s.load.Open != 0 || s.load.Prompt != 0 || s.load.Holdup > 1e-9 {
+				t.Fatalf("%s: %+v", id, s.load)
 			}
 		}
 	})
@@ -254,7 +253,7 @@
 
 func BenchmarkPick(b *testing.B) {
 	tr := NewTracker()
-	all := servers(90)
+	all := endpoints(90)
 	now := time.Unix(1000, 0)
 	r := prompt("a", 9000, "x")
 	for b.Loop() {
@@ -263,12 +262,12 @@
 	}
 }
 
-// Many nodes that heard the same seconds ago do not all send to the server that
-// had least to do then.
+// Many instances with the same reports, seconds old, do not all send to the endpoint that had the
+// least load then.
 func TestStaleUpdatesDoNotHerdRequestsToOnePlainServer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	all := servers(5)
+	all := endpoints(5)
 	for i := range all {
 		all[i].Slots = 6
 	}
@@ -291,7 +290,7 @@
 func TestAFullPlainServerIsLeft(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	all := servers(2)
+	all := endpoints(2)
 	all[0].Slots, all[1].Slots = 3, 3
 	tr := NewTracker()
 	got := make(map[string]int)
--- a/internal/balance/endpoint.go
+++ b/internal/balance/endpoint.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// What is assumed of a server.
+// Parameters of the estimates of an endpoint.
 const (
-	failureHalfLife = 4 * time.Second // until half of a failure is forgotten; faults last seconds
-	failureWeight   = 0.3             // of the newest result
-	restAfter       = 3               // failures in a row; chance alone makes them seldom
-	restFirst       = 500 * time.Millisecond
-	restMost        = 4 * time.Second  // rests double up to this: one that is well again is missed
-	slowWeight      = 0.15             // of the newest time
-	slowLeast       = 0.7              // times count as no less than this share of what is expected,
-	slowMost        = 8                // and as no more than so many times
-	slowHalfLife    = 6 * time.Second  // until half of what is assumed of a server's speed is forgotten: one that gets no work would never prove itself
-	keepFor         = 20 * time.Second // how long a shared prompt is assumed to be kept
-	keepMost        = 4096             // shared prompts remembered for one server
+	failureHalfLife  = 4 * time.Second // of the failure rate; faults last seconds
+	failureWeight    = 0.3             // weight of the newest result in the moving average of failures
+	ejectAfter       = 3               // consecutive failures that eject an endpoint; they are rare by chance alone
+	firstEjection    = 500 * time.Millisecond
+	maxEjection      = 4 * time.Second  // ejections double up to this; longer ones would leave out endpoints that have recovered
+	slowdownWeight   = 0.15             // weight of the newest response time in the moving average of the slowdown
+	minSlowdown      = 0.7              // response times count as no less than this fraction of the expected time,
+	maxSlowdown      = 8                // and as no more than this multiple of it
+	slowdownHalfLife = 6 * time.Second  // of the slowdown: an endpoint that gets no requests could never show that it has recovered
+	prefixTTL        = 20 * time.Second // how long an endpoint is assumed to keep a shared prompt prefix in its cache
+	maxPrefixes      = 4096             // prefixes remembered for one endpoint
 )
 
-// endpointState is what is assumed of one server.
+// endpointState is the state kept for one endpoint.
 type endpointState struct {
-	use       Use // from this node
-	slow      float64
-	slowAt    time.Time
-	failing   float64
-	failedAt  time.Time
-	inRow     int
-	restUntil time.Time
-	longAt    time.Time            // when a long prompt was last known to be read there
-	keeps     map[uint64]time.Time // hash of shared parts to when they were sent there last
+	load                Use // of this instance's requests
+	slowdown            float64
+	slowdownUpdated     time.Time
+	failureRate         float64
+	failureUpdated      time.Time
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	longPromptAt        time.Time            // when a long prompt was last known to be processed there
+	prefixes            map[uint64]time.Time // hash of a shared prefix to the time it was last sent there
 }
 
-// slowNow is how slow the server is assumed to be; 1 is usual.
-func (s *endpointState) slowNow(now time.Time) float64 {
-	return 1 + (s.slow-1)*math.Exp2(-float64(now.Sub(s.slowAt))/float64(slowHalfLife))
+// slowdownAt returns the factor by which the endpoint is estimated to be slower than usual; 1 is
+// usual.
+func (s *endpointState) slowdownAt(now time.Time) float64 {
+	return 1 + (s.slowdown-1)*math.Exp2(-float64(now.Sub(s.slowdownUpdated))/float64(slowdownHalfLife))
 }
 
-func (s *endpointState) failingAt(now time.Time) float64 {
-	if s.failing == 0 {
+func (s *endpointState) failureRateAt(now time.Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	return s.failing * math.Exp2(-float64(now.Sub(s.failedAt))/float64(failureHalfLife))
+	return s.failureRate * math.Exp2(-float64(now.Sub(s.failureUpdated))/float64(failureHalfLife))
 }
 
-func (s *endpointState) remember(hash uint64, now time.Time) {
-	if len(s.keeps) >= keepMost {
-		for h, at := range s.keeps {
-			if now.Sub(at) > keepFor/2 {
-				delete(s.keeps, h)
+func (s *endpointState) addPrefix(hash uint64, now time.Time) {
+	if len(s.prefixes) >= maxPrefixes {
+		for h, at := range s.prefixes {
+			if now.Sub(at) > prefixTTL/2 {
+				delete(s.prefixes, h)
 			}
 		}
 	}
-	if len(s.keeps) < keepMost {
-		s.keeps[hash] = now
+	if len(s.prefixes) < maxPrefixes {
+		s.prefixes[hash] = now
 	}
 }
 
-func (s *endpointState) note(result Result, now time.Time) {
-	failing := s.failingAt(now)
-	s.failedAt = now
+func (s *endpointState) record(result Result, now time.Time) {
+	failing := s.failureRateAt(now)
+	s.failureUpdated = now
 	if result == Answered {
-		s.failing = failing * (1 - failureWeight)
-		s.inRow = 0
-		s.restUntil = time.Time{}
+		s.failureRate = failing * (1 - failureWeight)
+		s.consecutiveFailures = 0
+		s.ejectedUntil = time.Time{}
 		return
 	}
-	s.failing = failing + failureWeight*(1-failing)
-	s.inRow++
-	if s.inRow >= restAfter {
-		rest := min(restMost, restFirst<<min(s.inRow-restAfter, 8))
-		s.restUntil = now.Add(rest)
+	s.failureRate = failing + failureWeight*(1-failing)
+	s.consecutiveFailures++
+	if s.consecutiveFailures >= ejectAfter {
+		ejection := min(maxEjection, firstEjection<<min(s.consecutiveFailures-ejectAfter, 8))
+		s.ejectedUntil = now.Add(ejection)
 	}
 }
--- a/internal/balance/estimate.go
+++ b/internal/balance/estimate.go
@@ -2,117 +2,118 @@
 
 import "github.com/shelfcrank/shelfcrank/internal/pace"
 
-// Estimate is what an instance learned of a service's model endpoints.
+// Estimate is what an instance has learned about a service's model endpoints.
 type Estimate struct {
 	Pace pace.Opinion
-	Risk float64 // that streams pause for too long beside a long prompt, 0 to 1
+	Risk float64 // that streams pause for too long beside a long prompt, from 0 to 1
 }
 
-// Estimates are those of all services, by name.
+// Estimates holds the estimates of all services, by name.
 type Estimates map[string]Estimate
 
-// estimator is what is learned of a service here, and what all instances make of it.
+// estimator holds the measurements of a service by this instance, and the estimates combined
+// from those of all instances.
 type estimator struct {
-	reading pace.Learner
-	pauses  holdRisk
-	pace    pace.Model // of all instances
-	risk    float64    // of all instances
-	adopted bool       // pace and risk come from another tracker of this instance
+	prefill      pace.Learner
+	interference interferenceRisk
+	pace         pace.Model // combined over all instances
+	risk         float64    // combined over all instances
+	adopted      bool       // pace and risk were taken over from another tracker of this instance
 }
 
-func newEstimator() estimator { return estimator{pauses: newHoldRisk()} }
+func newEstimator() estimator { return estimator{interference: newInterferenceRisk()} }
 
-// holdRisk learns how far long prompts have to be kept apart from streams. There
-// are endpoints that read a prompt in pieces so small that no stream is held up,
-// and others at which it stands still: only what streams show tells which. What
-// makes streams late with and without a long prompt beside them is no reason.
-type holdRisk struct {
-	beside share // of streams that were late, of those with a long prompt beside them
-	apart  share // and of the others
+// interferenceRisk estimates how much the processing (prefill) of long prompts disturbs streams at the
+// same endpoint. Some model endpoints process a prompt in chunks so small that no stream is
+// delayed, at others all streams stall; only the pauses of streams show which. What delays
+// streams with and without a long prompt beside them does not count.
+type interferenceRisk struct {
+	beside share // share of late streams among those with a long prompt beside them
+	apart  share // share of late streams among the others
 }
 
-// Terms of the risk. It is assumed in full if one in ten streams more is late
-// beside long prompts, which is what keeping them apart costs about.
+// Parameters of the risk. It is 1 if the share of late streams is higher by one in ten beside long
+// prompts, which is about what keeping the two apart costs.
 const (
-	fullRisk  = 0.1
-	firstRisk = 0.3 // before anything was seen
-	riskSeen  = 100 // streams that count; older ones fade
+	fullRisk   = 0.1
+	priorRisk  = 0.3 // before any stream was measured
+	riskMemory = 100 // number of streams averaged over; older ones fade
 )
 
-func newHoldRisk() holdRisk { return holdRisk{beside: firstRisk * fullRisk} }
+func newInterferenceRisk() interferenceRisk { return interferenceRisk{beside: priorRisk * fullRisk} }
 
-// share is a fading share of events.
+// share is an exponential moving average of the share of events for which something holds.
 type share float64
 
-func (s *share) note(yes bool) {
+func (s *share) add(yes bool) {
 	x := 0.0
 	if yes {
 		x = 1
 	}
-	*s += share((x - float64(*s)) / riskSeen)
+	*s += share((x - float64(*s)) / riskMemory)
 }
 
-func (r *holdRisk) note(late, beside bool) {
+func (r *interferenceRisk) add(late, beside bool) {
 	if beside {
-		r.beside.note(late)
+		r.beside.add(late)
 	} else {
-		r.apart.note(late)
+		r.apart.add(late)
 	}
 }
 
-// risk returns the risk, 0 to 1.
-func (r *holdRisk) risk() float64 {
+// risk returns the risk from 0 to 1.
+func (r *interferenceRisk) risk() float64 {
 	return min(1, max(0, float64(r.beside-r.apart)/fullRisk))
 }
 
-// agree works out what follows for a service from what this instance and the others
-// learned.
-func (t *Tracker) agree(service string) {
+// combine updates the estimates of a service from the measurements of this instance and of the
+// others.
+func (t *Tracker) combine(service string) {
 	s := t.services[service]
 	if s.adopted {
 		return
 	}
-	opinions := []pace.Opinion{{Model: s.reading.Model(), Weight: 1 + s.reading.Weight()}}
-	if d, told := t.desk[service]; told {
-		opinions = append(opinions, d.Pace)
+	models := []pace.Opinion{{Model: s.prefill.Model(), Weight: 1 + s.prefill.Weight()}}
+	if d, reported := t.hubEstimates[service]; reported {
+		models = append(models, d.Pace)
 	}
-	risk, nodes := s.pauses.risk(), 1.0
+	risk, instances := s.interference.risk(), 1.0
 	for _, r := range t.remotes {
-		if l, told := r.estimates[service]; told {
-			opinions = append(opinions, l.Pace)
+		if l, reported := r.estimates[service]; reported {
+			models = append(models, l.Pace)
 			risk += l.Risk
-			nodes++
+			instances++
 		}
 	}
-	s.pace, s.risk = pace.Agreed(opinions), risk/nodes
+	s.pace, s.risk = pace.Agreed(models), risk/instances
 }
 
-// Estimates returns what this instance learned itself, as a hub too.
+// Estimates returns what this instance has measured itself, including what it measured as a hub.
 func (t *Tracker) Estimates() Estimates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(Estimates)
 	for name, s := range t.services {
 		if s.engine {
-			own := pace.Opinion{Model: s.reading.Model(), Weight: s.reading.Weight()}
-			out[name] = Estimate{pace.Joined(own, t.desk[name].Pace), s.pauses.risk()}
+			own := pace.Opinion{Model: s.prefill.Model(), Weight: s.prefill.Weight()}
+			out[name] = Estimate{pace.Joined(own, t.hubEstimates[name].Pace), s.interference.risk()}
 		}
 	}
 	return out
 }
 
-// FromDesk takes what this instance learned as a hub, from all that it placed.
-func (t *Tracker) FromDesk(lessons Estimates) {
+// SetHubEstimates sets what this instance has measured as a hub, from all requests that it placed.
+func (t *Tracker) FromDesk(estimates Estimates) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.desk = lessons
-	for name := range lessons {
+	t.hubEstimates = estimates
+	for name := range estimates {
 		t.service(name)
-		t.agree(name)
+		t.combine(name)
 	}
 }
 
-// Agreed returns what follows from the lessons of all instances.
+// CombinedEstimates returns the estimates combined over all instances.
 func (t *Tracker) Agreed() Estimates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,11 +124,12 @@
 	return out
 }
 
-// Adopt makes this tracker go by what another tracker of the same instance learned.
-func (t *Tracker) Adopt(lessons Estimates) {
+// AdoptEstimates makes this tracker use the estimates of another tracker of the same instance in
+// place of its own.
+func (t *Tracker) Adopt(estimates Estimates) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for name, l := range lessons {
+	for name, l := range estimates {
 		s := t.service(name)
 		s.adopted, s.pace, s.risk = true, l.Pace.Model, l.Risk
 	}
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -6,75 +6,76 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// Result is how a request went at a server.
+// Result is the result of a request at an endpoint.
 type Result int
 
-// The results.
+// The results of requests.
 const (
 	Answered  Result = iota
-	Failed           // broken, timed out, or answered with a failure of the server's own
-	Refused          // the server was full or gone; nothing ran
-	Cancelled        // given up from this side; says nothing of the server
+	Failed           // broken off, timed out, or answered with an error of the endpoint's own
+	Refused          // the endpoint was overloaded or gone; the request was not run
+	Cancelled        // cancelled by this instance; tells nothing about the endpoint
 )
 
-// Ticket is a request that was sent to a server. Read and Done are called on it.
+// Ticket is a request that counts at an endpoint until Done is called. PromptRead is called when
+// the endpoint has processed the prompt.
 type Ticket struct {
-	Endpoint registry.Endpoint
-	Cost     float64 // of the choice, see Choice
-	Uncached int     // prompt tokens that the server probably has to read
-	tracker  *Tracker
-	request  *Request
-	state    *endpointState
-	service  *serviceState
-	queued   int  // prompt tokens that were to be read before
-	learns   bool // how it goes tells how fast the server is
-	holdup   float64
-	at       time.Time
-	readAt   time.Time
-	expect   float64 // nanoseconds
-	read     bool
-	done     bool
-	watchers []Observer
-
-	// What the goroutine that serves the request alone notes.
+	Endpoint     registry.Endpoint
+	Cost         float64 // estimated by the choice, see Choice
+	Uncached     int     // prompt tokens that the endpoint probably has to process, as they are not in its cache
+	tracker      *Tracker
+	request      *Request
+	state        *endpointState
+	service      *serviceState
+	queued       int  // prompt tokens queued at the endpoint before this request
+	measured     bool // the times of this request count for the estimates
+	interference float64
+	at           time.Time
+	readAt       time.Time
+	expected     float64 // nanoseconds
+	read         bool
+	done         bool
+	observers    []Observer
+
+	// Used only by the goroutine that serves the request.
 	arrived bool
 	events  int
 	lastAt  time.Time
 }
 
-// Observer is told how a request goes on at its server.
+// Observer is notified of the progress of a request at its endpoint.
 type Observer interface {
-	Read() // its first event is there
+	Read() // the first event has arrived
 	Done(result Result)
 }
 
-// Observe adds one who is told of the ticket from now on.
-func (k *Ticket) Observe(o Observer) { k.watchers = append(k.watchers, o) }
+// Observe adds an observer of what follows.
+func (k *Ticket) Observe(o Observer) { k.observers = append(k.observers, o) }
 
-// Arrive notes that the request reached the server, or may have.
+// MarkReached records that the request reached the endpoint, or may have.
 func (k *Ticket) Arrive() { k.arrived = true }
 
-// Arrived reports whether the request reached the server, as far as is known.
+// Reached reports whether the request has reached the endpoint, as far as is known.
 func (k *Ticket) Arrived() bool { return k.arrived }
 
-// Event notes an event of the stream that answers the request.
+// Event records an event of the response stream.
 func (k *Ticket) Event(now time.Time) {
 	k.events++
 	k.lastAt = now
 }
 
-// leastPaced is the number of events from which their pace says something.
-const leastPaced = 4
+// minPacedEvents is the minimum number of events for a meaningful interval.
+const minPacedEvents = 4
 
-// PerEvent returns the mean time between two events, or 0 if there were too few.
+// EventInterval returns the mean time between two events, or 0 if there were too few.
 func (k *Ticket) PerEvent() time.Duration {
-	if k.events < leastPaced {
+	if k.events < minPacedEvents {
 		return 0
 	}
 	return k.lastAt.Sub(k.readAt) / time.Duration(k.events-1)
 }
 
-// work is how long the request keeps a server busy, in nanoseconds.
+// work returns how long the request keeps an endpoint busy, in nanoseconds.
 func (k *Ticket) work() float64 {
 	if k.request.Engine {
 		return float64(k.service.pace.Reading(k.Uncached))
@@ -82,16 +83,16 @@
 	return k.service.work
 }
 
-// Read says that the server has read the prompt: its first event is there.
+// PromptRead records that the endpoint has processed the prompt, as the first event has arrived.
 func (k *Ticket) Read(now time.Time) {
 	k.tracker.mu.Lock()
-	news := !k.read
+	first := !k.read
 	k.markRead(now, true)
 	k.tracker.mu.Unlock()
-	if !news {
+	if !first {
 		return
 	}
-	for _, w := range k.watchers {
+	for _, w := range k.observers {
 		w.Read()
 	}
 }
@@ -101,44 +102,44 @@
 		return
 	}
 	k.read, k.readAt = true, now
-	k.state.use.Prompt -= k.Uncached
-	k.state.use.Holdup = max(0, k.state.use.Holdup-k.holdup)
-	if !learn || !k.learns {
+	k.state.load.Prompt -= k.Uncached
+	k.state.load.Holdup = max(0, k.state.load.Holdup-k.interference)
+	if !learn || !k.measured {
 		return
 	}
 	took := float64(now.Sub(k.at))
-	if k.expect > 0 {
-		ratio := min(max(took/k.expect, slowLeast), slowMost)
-		slow := k.state.slowNow(now)
-		k.state.slow, k.state.slowAt = slow+slowWeight*(ratio-slow), now
+	if k.expected > 0 {
+		ratio := min(max(took/k.expected, minSlowdown), maxSlowdown)
+		slow := k.state.slowdownAt(now)
+		k.state.slowdown, k.state.slowdownUpdated = slow+slowdownWeight*(ratio-slow), now
 	}
 	if !k.request.Engine {
 		k.service.work += serviceWeight * (took - k.service.work)
-	} else if float64(k.queued) <= aloneShare*float64(k.Uncached) {
-		k.service.reading.Observe(k.queued+k.Uncached, now.Sub(k.at))
-		k.tracker.agree(k.request.Service)
+	} else if float64(k.queued) <= maxQueuedShare*float64(k.Uncached) {
+		k.service.prefill.Observe(k.queued+k.Uncached, now.Sub(k.at))
+		k.tracker.combine(k.request.Service)
 	}
 }
 
-// Streamed says whether a whole stream paused for longer than it should.
+// Streamed records whether a completed stream paused for too long.
 func (k *Ticket) Streamed(late bool) {
 	k.tracker.mu.Lock()
 	defer k.tracker.mu.Unlock()
-	k.service.pauses.note(late, k.state.longAt.After(k.at))
-	k.tracker.agree(k.request.Service)
+	k.service.interference.add(late, k.state.longPromptAt.After(k.at))
+	k.tracker.combine(k.request.Service)
 }
 
-// Done ends the request at the server.
+// Done ends the request at the endpoint. Further calls have no effect.
 func (k *Ticket) Done(result Result, now time.Time) {
 	if !k.end(result, now) {
 		return
 	}
-	for _, w := range k.watchers {
+	for _, w := range k.observers {
 		w.Done(result)
 	}
 }
 
-// end ends the request, and says whether it had not ended before.
+// end ends the request and reports whether it had not ended before.
 func (k *Ticket) end(result Result, now time.Time) bool {
 	k.tracker.mu.Lock()
 	defer k.tracker.mu.Unlock()
@@ -147,12 +148,12 @@
 	}
 	k.done = true
 	k.markRead(now, result == Answered && !k.request.Engine)
-	k.state.use.Open--
+	k.state.load.Open--
 	if k.request.Engine && k.request.Slots > 0 {
-		k.service.held.Add(float64(now.Sub(k.readAt))/float64(k.request.Slots), demandOver, now)
+		k.service.slotRate.Add(float64(now.Sub(k.readAt))/float64(k.request.Slots), demandWindow, now)
 	}
 	if result != Cancelled {
-		k.state.note(result, now)
+		k.state.record(result, now)
 	}
 	return true
 }
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -8,39 +8,40 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// What is assumed of a service.
+// Parameters of the estimates of a service.
 const (
-	firstWork      = 50 * time.Millisecond // of a request of a plain service, until some were seen
-	serviceWeight  = 0.05                  // of the newest such time
-	intervalWeight = 0.02                  // of the newest time between two updates
-	aloneShare     = 0.25                  // of its own tokens that a request may find queued, to tell how fast a server reads
+	initialWork    = 50 * time.Millisecond // response time assumed for a plain service, until some were measured
+	serviceWeight  = 0.05                  // weight of the newest response time in the moving average
+	intervalWeight = 0.02                  // weight of the newest time between two updates in the moving average
+	maxQueuedShare = 0.25                  // a request counts for the processing speed if the tokens queued before it are at most this fraction of its own
 )
 
-// Use is how much of a server one node has on the way.
+// Load is the load of one instance's requests on an endpoint: open requests, prompt tokens not
+// processed yet, and their interference with streams.
 type Use struct {
 	Open   int
 	Prompt int
 	Holdup float64
 }
 
-// Plus returns the sum of two uses.
+// Plus returns the sum of two loads.
 func (u Use) Plus(more Use) Use {
 	return Use{Open: u.Open + more.Open, Prompt: u.Prompt + more.Prompt, Holdup: u.Holdup + more.Holdup}
 }
 
 type serviceState struct {
 	estimator
-	engine bool       // it has model servers
-	work   float64    // nanoseconds
-	asked  decay.Rate // nanoseconds of work asked for in a second
-	held   decay.Rate // nanoseconds that requests held a place at a model server in a second, by its places
+	engine   bool       // it has model endpoints
+	work     float64    // mean response time of a plain service, in nanoseconds
+	busyRate decay.Rate // nanoseconds of work requested per second
+	slotRate decay.Rate // nanoseconds per second that requests held a slot of a model endpoint, divided by its number of slots
 }
 
-// Demand is the work that a service was asked for of late, as so many servers'
-// worth.
+// Demand is the work that was recently requested of a service, as a number of fully used
+// endpoints.
 type Demand struct {
-	Busy float64 // prompts to be read, or requests of a plain service
-	Held float64 // places at model servers held after the prompt was read
+	Busy float64 // processing of prompts, or requests of a plain service
+	Held float64 // slots of model endpoints held after the prompt was processed
 }
 
 // Plus returns the sum of two demands.
@@ -48,68 +49,68 @@
 	return Demand{Busy: d.Busy + more.Busy, Held: d.Held + more.Held}
 }
 
-// demandOver is the time over which the work asked for is averaged.
-const demandOver = 3 * time.Second
+// demandWindow is the time over which the requested work is averaged.
+const demandWindow = 3 * time.Second
 
 type remote struct {
 	uses      map[string]Use
 	demand    map[string]Demand // by service
 	estimates Estimates
-	at        time.Time // when it was received
-	until     time.Time // when it counts no more
+	at        time.Time // when the update was received
+	until     time.Time // when the update expires
 }
 
-// Tracker holds the beliefs about all servers.
+// Tracker maintains what is known about all endpoints.
 type Tracker struct {
 	mu             sync.Mutex
-	endpoints      map[string]*endpointState // by server id; guarded by mu
+	endpoints      map[string]*endpointState // by endpoint ID; guarded by mu
 	services       map[string]*serviceState  // by name; guarded by mu
-	remotes        map[string]remote         // by node; guarded by mu
-	longPrompts    chan struct{}             // has room for one
-	desk           Estimates                 // of the tracker that this node places requests by as a hub; guarded by mu
-	sums           map[string]Use            // of the remotes, by server id; guarded by mu
-	updateInterval float64                   // nanoseconds between two updates of a node, on the mean; guarded by mu
+	remotes        map[string]remote         // by instance; guarded by mu
+	longPrompts    chan struct{}             // buffered, for one signal
+	hubEstimates   Estimates                 // what this instance measured as a hub; guarded by mu
+	remoteLoads    map[string]Use            // sums over the remotes, by endpoint ID; guarded by mu
+	updateInterval float64                   // mean nanoseconds between two updates of an instance; guarded by mu
 }
 
-// NewTracker returns a tracker that believes nothing yet.
+// NewTracker returns a tracker without any state.
 func NewTracker() *Tracker {
 	return &Tracker{
 		endpoints: make(map[string]*endpointState), services: make(map[string]*serviceState),
-		remotes: make(map[string]remote), sums: make(map[string]Use), longPrompts: make(chan struct{}, 1),
+		remotes: make(map[string]remote), remoteLoads: make(map[string]Use), longPrompts: make(chan struct{}, 1),
 	}
 }
 
-// Pick chooses a server and counts the request there. The second result is
-// false when there is none.
-func (t *Tracker) Pick(servers []registry.Endpoint, r *Request, now time.Time) (*Ticket, bool) {
+// Pick chooses an endpoint and counts the request there. The second result is false if there is
+// none.
+func (t *Tracker) Pick(endpoints []registry.Endpoint, r *Request, now time.Time) (*Ticket, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	service := t.service(r.Service)
 	service.engine = r.Engine
 	shared, hash := r.shared()
-	views := make([]View, 0, len(servers))
-	for _, s := range servers {
-		views = append(views, t.view(s, service, hash, now))
+	candidates := make([]Candidate, 0, len(endpoints))
+	for _, s := range endpoints {
+		candidates = append(candidates, t.candidate(s, service, hash, now))
 	}
-	best := Choose(views, r)
+	best := Choose(candidates, r)
 	if best.Index < 0 {
 		return nil, false
 	}
-	v := &views[best.Index]
+	v := &candidates[best.Index]
 	k := t.count(v.Endpoint, r, best.Uncached, now)
-	k.Cost, k.queued, k.learns = best.Cost, v.Prompt, true
-	k.expect = service.work
+	k.Cost, k.queued, k.measured = best.Cost, v.Prompt, true
+	k.expected = service.work
 	if r.Engine {
-		k.expect = float64(service.pace.First(k.Uncached)) + float64(v.Prompt)*service.pace.Token
+		k.expected = float64(service.pace.First(k.Uncached)) + float64(v.Prompt)*service.pace.Token
 	}
 	if shared > 0 {
-		k.state.remember(hash, now)
+		k.state.addPrefix(hash, now)
 	}
 	return k, true
 }
 
-// Take counts a request at a server that a hub has chosen for it, and of whose
-// queue this node knows too little to learn from how it goes.
+// CountPlaced counts a request at an endpoint that a hub has chosen for it. This instance knows
+// too little of the queue there for the request's times to count for the estimates.
 func (t *Tracker) Take(s registry.Endpoint, r *Request, uncached int, now time.Time) *Ticket {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,21 +118,21 @@
 	return t.count(s, r, uncached, now)
 }
 
-// count counts a request at a server.
+// count counts a request at an endpoint.
 func (t *Tracker) count(s registry.Endpoint, r *Request, uncached int, now time.Time) *Ticket {
 	st, service := t.endpoint(s.ID), t.service(r.Service)
 	k := &Ticket{Endpoint: s, Uncached: uncached, tracker: t, request: r, state: st, service: service, at: now}
 	if r.Engine {
-		k.holdup = holdup(r.Tokens)
+		k.interference = interference(r.Tokens)
 	}
-	st.use.Open++
-	st.use.Prompt += uncached
-	st.use.Holdup += k.holdup
-	if k.holdup >= longHoldup {
-		st.longAt = now.Add(service.pace.Reading(uncached))
+	st.load.Open++
+	st.load.Prompt += uncached
+	st.load.Holdup += k.interference
+	if k.interference >= longInterference {
+		st.longPromptAt = now.Add(service.pace.Reading(uncached))
 	}
-	service.asked.Add(k.work(), demandOver, now)
-	if uncached >= broadcastFrom {
+	service.busyRate.Add(k.work(), demandWindow, now)
+	if uncached >= broadcastTokens {
 		select {
 		case t.longPrompts <- struct{}{}:
 		default:
@@ -140,25 +141,25 @@
 	return k
 }
 
-// broadcastFrom is the number of prompt tokens from which the other nodes learn of a
-// request at once.
-const broadcastFrom = 3000
+// broadcastTokens is the number of prompt tokens from which a request is reported to the other
+// instances at once.
+const broadcastTokens = 3000
 
-// LongPrompts is sent on when the other nodes should learn of the uses at once.
+// LongPrompts receives a signal when the loads should be reported to the other instances at once.
 func (t *Tracker) LongPrompts() <-chan struct{} { return t.longPrompts }
 
-// Demand returns, by service, what this node was asked for.
+// Demand returns the recent demand at this instance, by service.
 func (t *Tracker) Demand(now time.Time) map[string]Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]Demand, len(t.services))
 	for name, s := range t.services {
-		out[name] = Demand{s.asked.At(demandOver, now) / float64(time.Second), s.held.At(demandOver, now) / float64(time.Second)}
+		out[name] = Demand{s.busyRate.At(demandWindow, now) / float64(time.Second), s.slotRate.At(demandWindow, now) / float64(time.Second)}
 	}
 	return out
 }
 
-// FleetDemand returns the sum of all nodes' demand for a service.
+// FleetDemand returns the sum of all instances' demand for a service.
 func (t *Tracker) FleetDemand(service string, now time.Time) Demand {
 	sum := t.Demand(now)[service]
 	t.mu.Lock()
@@ -171,33 +172,33 @@
 	return sum
 }
 
-func (t *Tracker) view(s registry.Endpoint, service *serviceState, hash uint64, now time.Time) View {
+func (t *Tracker) candidate(s registry.Endpoint, service *serviceState, hash uint64, now time.Time) Candidate {
 	st := t.endpoint(s.ID)
-	far := t.sums[s.ID]
-	seen, keeps := st.keeps[hash]
-	return View{
-		Endpoint: s, Open: float64(st.use.Open) + t.farOpen(far.Open, service), Prompt: st.use.Prompt + far.Prompt, Holdup: st.use.Holdup + far.Holdup,
-		Slow: st.slowNow(now), Failing: st.failingAt(now), Resting: now.Before(st.restUntil),
-		Keeps: keeps && now.Sub(seen) < keepFor,
-		Work:  time.Duration(service.work), Pace: service.pace, Risk: service.risk,
+	others := t.remoteLoads[s.ID]
+	seen, known := st.prefixes[hash]
+	return Candidate{
+		Endpoint: s, Open: float64(st.load.Open) + t.remoteOpen(others.Open, service), Prompt: st.load.Prompt + others.Prompt, Interference: st.load.Holdup + others.Holdup,
+		Slowdown: st.slowdownAt(now), FailureRate: st.failureRateAt(now), Ejected: now.Before(st.ejectedUntil),
+		HasPrefix: known && now.Sub(seen) < prefixTTL,
+		Work:      time.Duration(service.work), Pace: service.pace, Risk: service.risk,
 	}
 }
 
-// farOpen returns how many requests of the others are assumed to be at a server
-// still. Of those of a plain service that they reported, those are gone by now
-// that take less time than updates do; to go by their number would send all
-// instances' requests to the server that had fewest then.
-func (t *Tracker) farOpen(told int, service *serviceState) float64 {
+// remoteOpen returns how many of the open requests that other instances reported are assumed to be
+// still at an endpoint. At a plain service, requests that take less time than the interval of the
+// reports have ended by now; counting them in full would make all instances send to the endpoint
+// that had the fewest at the last report.
+func (t *Tracker) remoteOpen(reported int, service *serviceState) float64 {
 	if service.engine {
-		return float64(told)
+		return float64(reported)
 	}
-	return float64(told) * service.work / (service.work + t.updateInterval/2)
+	return float64(reported) * service.work / (service.work + t.updateInterval/2)
 }
 
 func (t *Tracker) endpoint(id string) *endpointState {
 	s := t.endpoints[id]
 	if s == nil {
-		s = &endpointState{slow: 1, keeps: make(map[uint64]time.Time)}
+		s = &endpointState{slowdown: 1, prefixes: make(map[uint64]time.Time)}
 		t.endpoints[id] = s
 	}
 	return s
@@ -206,14 +207,15 @@
 func (t *Tracker) service(name string) *serviceState {
 	s := t.services[name]
 	if s == nil {
-		s = &serviceState{work: float64(firstWork), estimator: newEstimator()}
+		s = &serviceState{work: float64(initialWork), estimator: newEstimator()}
 		t.services[name] = s
-		t.agree(name)
+		t.combine(name)
 	}
 	return s
 }
 
-// Update is what another node sends. One of uses only leaves all else as it was.
+// Update is the report of another instance. If LoadsOnly is set, the demand and the estimates of
+// its last report remain valid.
 type Update struct {
 	Uses      map[string]Use
 	Demand    map[string]Demand // by service
@@ -221,52 +223,51 @@
 	UsesOnly  bool
 }
 
-// Apply takes another node's update, which counts until the node is seen again
-// or until a deadline.
-func (t *Tracker) Apply(node string, news Update, until, now time.Time) {
+// Apply applies the update of an instance, which counts until the next one or until a deadline.
+func (t *Tracker) Apply(instance string, update Update, until, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if news.UsesOnly {
-		news.Demand, news.Estimates = t.remotes[node].demand, t.remotes[node].estimates
+	if update.UsesOnly {
+		update.Demand, update.Estimates = t.remotes[instance].demand, t.remotes[instance].estimates
 	}
-	if last, known := t.remotes[node]; known {
+	if last, known := t.remotes[instance]; known {
 		t.updateInterval += intervalWeight * (float64(now.Sub(last.at)) - t.updateInterval)
 	}
-	t.remotes[node] = remote{news.Uses, news.Demand, news.Estimates, now, until}
-	clear(t.sums)
+	t.remotes[instance] = remote{update.Uses, update.Demand, update.Estimates, now, until}
+	clear(t.remoteLoads)
 	for name, r := range t.remotes {
 		if now.After(r.until) {
 			delete(t.remotes, name)
 			continue
 		}
 		for id, u := range r.uses {
-			t.sums[id] = t.sums[id].Plus(u)
-			if u.Holdup >= longHoldup {
-				t.endpoint(id).longAt = now
+			t.remoteLoads[id] = t.remoteLoads[id].Plus(u)
+			if u.Holdup >= longInterference {
+				t.endpoint(id).longPromptAt = now
 			}
 		}
 	}
 }
 
-// Uses returns this node's use of the servers.
+// Loads returns the load of this instance's requests on each endpoint.
 func (t *Tracker) Uses() map[string]Use {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]Use)
 	for id, s := range t.endpoints {
-		if s.use.Open != 0 {
-			out[id] = s.use
+		if s.load.Open != 0 {
+			out[id] = s.load
 		}
 	}
 	return out
 }
 
-// Forget drops what is assumed of servers that are gone.
-func (t *Tracker) Forget(wanted func(server string) bool) {
+// Forget drops the state of endpoints that are gone.
+func (t *Tracker) Forget(wanted func(endpoint string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, s := range t.endpoints {
-		if s.use.Open == 0 && !wanted(id) {
+		if s.load.Open == 0 && !wanted(id) {
 			delete(t.endpoints, id)
 		}
 	}
