--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,10 +1,8 @@
-// Package prefix knows which prompt prefixes an endpoint probably has in its
-// cache.
+// Package prefix tracks which prompt prefixes an endpoint probably has in its cache.
 //
-// A prompt is cut into blocks; each block's hash covers all blocks before it,
-// as model engines do it. Index holds the hashes sent to or reported by one
-// endpoint, bounded in number. Hashing is pure; an Index is safe for
-// concurrent use.
+// A prompt is divided into blocks. The hash of a block covers all blocks before it, as in the
+// prefix caches of model engines. Index holds a limited number of hashes of blocks that were sent
+// to an endpoint or that it reported. Hashing is pure; an Index is safe for concurrent use.
 package prefix
 
 import (
@@ -14,18 +12,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockBytes is the length of a block of prompt text.
+// BlockBytes is the length of a block of prompt text, in bytes.
 const BlockBytes = 256
 
-// BytesPerToken is the mean length of a token, used where the engine's own
-// count is not known.
+// BytesPerToken is the mean length of a token, used where the engine's own count is unknown.
 const BytesPerToken = 4
 
 // BlockTokens is the number of tokens in a block.
 const BlockTokens = BlockBytes / BytesPerToken
 
-// Chain returns the hash of each whole block of the prompt, each covering all
-// text before its end, beginning from a hash of the model's name.
+// Chain returns the hash of each complete block of the prompt. Each hash covers the model's name
+// and all text up to the end of the block.
 func Chain(model, prompt string) []uint64 {
 	n := len(prompt) / BlockBytes
 	chain := make([]uint64, 0, n)
@@ -48,22 +45,23 @@
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// Index is the set of blocks that an endpoint probably holds, at most limit
-// of them. It drops the half that was not used of late: two generations
-// approximate least-recently-used at a constant cost.
+// Index is the set of blocks that an endpoint probably has cached, of limited size. It keeps two
+// generations and drops the older one when the younger is full, which approximates LRU eviction at
+// constant cost.
 type Index struct {
 	mu    sync.Mutex
-	limit int                 // blocks in one generation
+	limit int                 // maximum blocks in one generation
 	young map[uint64]struct{} // guarded by mu
 	old   map[uint64]struct{} // guarded by mu
 }
 
-// NewIndex returns an index that holds about limit blocks.
+// NewIndex returns an index that holds at most limit blocks, rounded down to an even number but at
+// least 2.
 func NewIndex(limit int) *Index {
 	return &Index{limit: max(1, limit/2), young: make(map[uint64]struct{}), old: make(map[uint64]struct{})}
 }
 
-// Add notes that the endpoint now holds the blocks.
+// Add records that the endpoint has the blocks.
 func (x *Index) Add(blocks ...uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -72,7 +70,7 @@
 	}
 }
 
-// Remove notes that the endpoint dropped the blocks.
+// Remove records that the endpoint has evicted the blocks.
 func (x *Index) Remove(blocks ...uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -82,7 +80,7 @@
 	}
 }
 
-// Clear forgets everything, as after a restart of the endpoint.
+// Clear removes all blocks, as after a restart of the endpoint.
 func (x *Index) Clear() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -101,8 +99,8 @@
 	x.young[b] = struct{}{}
 }
 
-// Held returns how many leading blocks of the chain the endpoint probably
-// holds. A held prefix is contiguous, so a binary search finds its end.
+// Held returns how many leading blocks of the chain the endpoint probably has. The blocks that it
+// has are a prefix of the chain, so a binary search finds the last one.
 func (x *Index) Held(chain []uint64) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -126,7 +124,7 @@
 	return ok
 }
 
-// Len returns the number of blocks held.
+// Len returns the number of blocks. Blocks in both generations count twice.
 func (x *Index) Len() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -45,5 +45,5 @@
 	}
 	is.True(x.Len() <= 100)
 	is.Equal(x.Held([]uint64{9_999}), 1) // the newest block stays
-	is.Equal(x.Held([]uint64{1}), 0)     // the oldest went
+	is.Equal(x.Held([]uint64{1}), 0)     // the oldest was dropped
 }
