--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous assigns things to names by highest random weight: all that
-// know the same names choose the same, and when a name goes only what belonged
-// to it moves. The package is pure.
+// Package rendezvous implements rendezvous (highest random weight) hashing of keys to names. All
+// that know the same names choose the same one for a key, and when a name is removed only its own
+// keys move. The package is pure.
 package rendezvous
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns the weight of a name for a thing, given by its hash. The name
-// with the highest score has the thing.
-func Score(thing uint64, name string) uint64 {
-	// The finalizer of MurmurHash3: every bit of the input changes half of the output.
-	x := thing ^ xxhash.Sum64String(name)
+// Score returns the weight of a name for the hash of a key. The name with the highest score owns
+// the key.
+func Score(key uint64, name string) uint64 {
+	// The finalizer of MurmurHash3: each bit of the input changes half of the output bits on average.
+	x := key ^ xxhash.Sum64String(name)
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -22,22 +22,23 @@
 	return x ^ x>>33
 }
 
-// Best returns the name that has a thing, "" if there are no names.
-func Best(thing uint64, names []string) string {
+// Best returns the name that owns a key, "" if there are no names.
+func Best(key uint64, names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
-	return slices.MinFunc(names, func(a, b string) int { return compare(thing, a, b) })
+	return slices.MinFunc(names, func(a, b string) int { return compare(key, a, b) })
 }
 
-// Order returns the names in the order in which a thing belongs to them.
-func Order(thing uint64, names []string) []string {
+// Order returns the names by descending score for a key: each owns the key if those before it are
+// removed.
+func Order(key uint64, names []string) []string {
 	ordered := slices.Clone(names)
-	slices.SortFunc(ordered, func(a, b string) int { return compare(thing, a, b) })
+	slices.SortFunc(ordered, func(a, b string) int { return compare(key, a, b) })
 	return ordered
 }
 
-// compare orders the name with the higher score first.
-func compare(thing uint64, a, b string) int {
-	return cmp.Or(cmp.Compare(Score(thing, b), Score(thing, a)), cmp.Compare(a, b))
+// compare orders names by descending score for a key, and by name if the scores are equal.
+func compare(key uint64, a, b string) int {
+	return cmp.Or(cmp.Compare(Score(key, b), Score(key, a)), cmp.Compare(a, b))
 }
