--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,6 +1,6 @@
-// Package decay averages a rate over the time just past.
+// Package decay implements exponentially decaying averages of rates.
 //
-// The package is pure; a Rate belongs to one goroutine at a time.
+// The package is pure; a Rate must not be used concurrently.
 package decay
 
 import (
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Rate is a decaying average of what was added in a second.
+// Rate is an exponentially decaying average of the amount added per second.
 type Rate struct {
 	rate float64
 	at   time.Time
 }
 
-// Add adds to the rate; over is the time that the average is taken over.
+// Add adds an amount to the rate; over is the time constant of the decay.
 func (r *Rate) Add(n float64, over time.Duration, now time.Time) {
 	r.rate = r.At(over, now) + n/over.Seconds()
 	r.at = now
 }
 
-// At returns the rate at a time.
+// At returns the rate at a time, in amounts per second.
 func (r *Rate) At(over time.Duration, now time.Time) float64 {
 	if r.at.IsZero() {
 		return 0
