--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,9 +1,8 @@
-// Package backend sends requests to servers over kept HTTP/1.1 connections.
+// Package backend sends requests to endpoints over persistent HTTP/1.1 connections.
 //
-// It knows, for each request, whether a byte of it left this node: an error
-// says "not run" only if none did or the server said so. It never repeats a
-// request by itself. An answer that belongs to another request is skipped, and
-// a connection that brought anything unasked is given up.
+// It tracks for each request whether any byte of it was written: an error says "not run" only if
+// none was, or if the endpoint said so. It never retries a request by itself. A response to
+// another request is skipped, and a connection that received unexpected bytes is not reused.
 //
 // Client is safe for concurrent use.
 package backend
@@ -25,52 +24,52 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// Protocol reads what a server says of its answer.
+// Protocol reads the headers of an endpoint's response.
 type Protocol interface {
 	Answer(status int, h http.Header) Answer
 }
 
-// Answer is what a server says of its answer.
+// Answer is what an endpoint states in the headers of its response.
 type Answer struct {
-	RequestID   string // of the request that it answers; empty when not told
-	Instance    string // id of the server; empty when not told
-	Sealed      bool   // the answer bears the server's seal
-	NotRun      bool   // the server did not run the request
-	Misdirected bool   // another server has the address
-	Close       bool   // the server wants the connection closed
+	RequestID   string // of the request that the response belongs to; empty if not stated
+	Instance    string // ID of the endpoint; empty if not stated
+	Sealed      bool   // the response bears the endpoint's seal
+	NotRun      bool   // the endpoint did not run the request
+	Misdirected bool   // another endpoint has this address now
+	Close       bool   // the endpoint wants the connection closed
 	Notice      notice.Notice
 	RateLimit   ratelimit.Limit
 	Load        Load
 	HasLoad     bool
 }
 
-// Load is how busy a server was when it answered.
+// Load is the load of an endpoint when it responded.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Call is one request to one server.
+// Call is one request to one endpoint.
 type Call struct {
 	Endpoint registry.Endpoint
-	MaxConns int // connections to the server that this node may have; 0 is no limit
+	MaxConns int // maximum connections of this instance to the endpoint; 0 for no limit
 	Method   string
-	URI      string // as the client sent it
+	URI      string // as received from the client
 	Host     string
 	Header   http.Header
 	Body     []byte
-	ID       string        // id of the request
-	MaxIdle  time.Duration // a kept connection idle for longer is not used; 0 is no limit
+	ID       string        // request ID
+	MaxIdle  time.Duration // a connection that has been idle for longer is not used; 0 for no limit
 }
 
-// Response is a server's answer. Close has to be called.
+// Response is an endpoint's response. The caller has to call Close.
 type Response struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1 when not known
+	Length int64 // of the body; -1 if unknown
 	Answer Answer
-	Reused bool // the connection had served before
+	Reused bool // the connection has carried an earlier request
 
 	body io.Reader
 	call *exchange
@@ -78,14 +77,14 @@
 
 const (
 	dialTimeout    = 400 * time.Millisecond
-	maxIdleTime    = 8 * time.Second // a kept connection is given up after it
-	maxIdleConns   = 64              // kept to one server
-	maxWrongOnes   = 3               // answers to other requests that are skipped
+	maxIdle        = 8 * time.Second // an idle connection is closed after it
+	maxIdleConns   = 64              // for each endpoint
+	maxMismatched  = 3               // responses to other requests that are skipped before giving up
 	maxHeaderBytes = 64 << 10
-	inlineBody     = 8 << 10 // a body up to this size is written before the answer is read
+	maxInlineBody  = 8 << 10 // bytes; a body up to this size is written before the response is read
 )
 
-// Client holds the connections to servers.
+// Client is a pool of connections to endpoints.
 type Client struct {
 	net      netx.Network
 	protocol Protocol
@@ -94,7 +93,7 @@
 	clock    *clock.Clock
 
 	mu        sync.Mutex
-	endpoints map[string]*connections // by server id; guarded by mu
+	endpoints map[string]*connections // by endpoint ID; guarded by mu
 }
 
 type connections struct {
@@ -106,8 +105,8 @@
 type Options struct {
 	Net      netx.Network
 	Protocol Protocol
-	Notices  *notice.Table    // takes what servers say of themselves in their answers
-	Limits   *ratelimit.Table // takes the rate limits that they name
+	Notices  *notice.Table    // receives the notices in the endpoints' responses
+	Limits   *ratelimit.Table // receives the rate limits in the endpoints' responses
 	Clock    *clock.Clock     // may be nil
 }
 
@@ -116,10 +115,10 @@
 	return &Client{net: o.Net, clock: o.Clock, protocol: o.Protocol, notices: o.Notices, limits: o.Limits, endpoints: make(map[string]*connections)}
 }
 
-// errCap says that no more connections to a server may be made.
-var errCap = errors.New("too many connections to the server")
+// errConnLimit reports that an endpoint already has the maximum number of connections.
+var errConnLimit = errors.New("too many connections to the endpoint")
 
-// acquire returns a kept connection or a new one.
+// acquire returns an idle connection or dials a new one.
 func (c *Client) acquire(ctx context.Context, call *Call) (*conn, error) {
 	now := c.clock.Now()
 	c.mu.Lock()
@@ -137,11 +136,11 @@
 			return k, nil
 		}
 		s.open--
-		k.shut()
+		k.close()
 	}
 	if call.MaxConns > 0 && s.open >= call.MaxConns {
 		c.mu.Unlock()
-		return nil, errCap
+		return nil, errConnLimit
 	}
 	s.open++
 	c.mu.Unlock()
@@ -155,40 +154,40 @@
 	return newConn(raw), nil
 }
 
-// keep takes a connection back for the next request.
-func (c *Client) keep(server string, k *conn) {
+// release returns a connection to the pool for the next request.
+func (c *Client) release(endpoint string, k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.endpoints[server]
+	s := c.endpoints[endpoint]
 	if s == nil || len(s.idle) >= maxIdleConns {
-		k.shut()
-		c.lose(server)
+		k.close()
+		c.decrementOpen(endpoint)
 		return
 	}
 	k.idleSince = c.clock.Now()
 	s.idle = append(s.idle, k)
 }
 
-// discard closes a connection, which may be nil when it never stood.
-func (c *Client) discard(server string, k *conn) {
+// discard closes a connection, which is nil if dialling failed.
+func (c *Client) discard(endpoint string, k *conn) {
 	if k != nil {
-		k.shut()
+		k.close()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lose(server)
+	c.decrementOpen(endpoint)
 }
 
-// lose takes one off the open connections to a server. c.mu is held.
-func (c *Client) lose(server string) {
-	if s := c.endpoints[server]; s != nil {
+// decrementOpen decrements the count of open connections to an endpoint. c.mu is held.
+func (c *Client) decrementOpen(endpoint string) {
+	if s := c.endpoints[endpoint]; s != nil {
 		s.open--
 	}
 }
 
-// Tidy closes connections that were idle for long and all idle ones to servers
-// that are not wanted any more.
-func (c *Client) Tidy(now time.Time, wanted func(server string) bool) {
+// CloseUnused closes connections that have been idle for too long, and all idle connections to
+// endpoints that are no longer wanted.
+func (c *Client) Tidy(now time.Time, wanted func(endpoint string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, s := range c.endpoints {
@@ -196,7 +195,7 @@
 		kept := s.idle[:0]
 		for _, k := range s.idle {
 			if gone || !k.usable(now, 0) {
-				k.shut()
+				k.close()
 				s.open--
 				continue
 			}
@@ -215,30 +214,31 @@
 	c.Tidy(c.clock.Now(), func(string) bool { return false })
 }
 
-// Send sends a request and returns the head of its answer. An error is a
-// *fault.Error that says what is known about the execution.
+// Send sends a request and returns the head of the response. An error is a *fault.Error, which
+// says whether the request may have run.
 func (c *Client) Send(ctx context.Context, call *Call) (*Response, error) {
 	k, err := c.acquire(ctx, call)
 	if err != nil {
 		kind := fault.KindRefused
-		if errors.Is(err, errCap) {
+		if errors.Is(err, errConnLimit) {
 			kind = fault.KindLimit
 		}
 		return nil, fault.New(fault.StepDispatch, call.Endpoint.ID, kind, fault.NotRun, "connect: %w", err)
 	}
-	if ctx.Err() != nil { // it ended while the connection was made
-		c.keep(call.Endpoint.ID, k)
+	if ctx.Err() != nil { // ctx ended while the connection was made
+		c.release(call.Endpoint.ID, k)
 		return nil, fault.New(fault.StepDispatch, call.Endpoint.ID, fault.KindTimeout, fault.NotRun, "connect: %w", context.Cause(ctx))
 	}
-	// The server may have said that it wants no more while the connection was made, which
-	// takes up to dialTimeout: four instances' requests at once would fill its rest.
+	// The endpoint may have asked for a pause while the connection was made, which takes up to
+	// dialTimeout: without this check, requests of four instances at once would go on arriving
+	// throughout the pause.
 	now := c.clock.Now()
 	if err := c.notices.Allows(&call.Endpoint, now); err != nil {
-		c.keep(call.Endpoint.ID, k)
+		c.release(call.Endpoint.ID, k)
 		return nil, fault.New(fault.StepDispatch, call.Endpoint.ID, fault.KindLimit, fault.NotRun, "send: %w", err)
 	}
 	if err := c.limits.Take(call.Endpoint.ID, now); err != nil {
-		c.keep(call.Endpoint.ID, k)
+		c.release(call.Endpoint.ID, k)
 		return nil, fault.New(fault.StepDispatch, call.Endpoint.ID, fault.KindLimit, fault.NotRun, "send: %w", err)
 	}
 	x := &exchange{client: c, endpoint: call.Endpoint, conn: k, sentAt: now}
@@ -246,42 +246,43 @@
 	resp, err := x.do(call)
 	if err != nil {
 		x.end(false)
-		return nil, c.explain(ctx, call, x, err)
+		return nil, c.toFault(ctx, call, x, err)
 	}
 	return resp, nil
 }
 
-// probeTimeout bounds a look whether a server's process is there. One in another hall
-// answers in 2 ms; one that is cut off does not, and says nothing.
+// probeTimeout limits a probe of an endpoint's process. An endpoint in another hall answers in
+// 2 ms; one behind a network partition does not answer, which proves nothing.
 const probeTimeout = 100 * time.Millisecond
 
-// ProbeEnded connects to a server to find out whether its process has ended: its address
-// refuses connections then. One that takes the connection may have started again, and the
-// connection is kept for the next request.
-func (c *Client) ProbeEnded(ctx context.Context, server registry.Endpoint) bool {
+// ProbeEnded connects to an endpoint and reports whether its process has ended: its address
+// refuses connections then. If the connection succeeds, the process may have been restarted, and
+// the connection is kept for the next request.
+func (c *Client) ProbeEnded(ctx context.Context, endpoint registry.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	raw, err := c.net.Dial(ctx, server.Addr)
+	raw, err := c.net.Dial(ctx, endpoint.Addr)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
 	c.mu.Lock()
-	s := c.endpoints[server.ID]
+	s := c.endpoints[endpoint.ID]
 	if s != nil {
 		s.open++
 	}
 	c.mu.Unlock()
 	k := newConn(raw)
 	if s == nil {
-		k.shut()
+		k.close()
 		return false
 	}
-	c.keep(server.ID, k)
+	c.release(endpoint.ID, k)
 	return false
 }
 
-// explain turns an error of an exchange into what is known of the request.
-func (c *Client) explain(ctx context.Context, call *Call, x *exchange, err error) error {
+// toFault converts an error of an exchange to a *fault.Error that says whether the request may
+// have run.
+func (c *Client) toFault(ctx context.Context, call *Call, x *exchange, err error) error {
 	run, kind := fault.MayHaveRun, fault.KindBroken
 	if x.conn.sent() == x.sentBefore {
 		run = fault.NotRun
@@ -293,16 +294,15 @@
 	return fault.New(fault.StepDispatch, call.Endpoint.ID, kind, run, "exchange: %w", err)
 }
 
-// Read implements io.Reader. It returns io.EOF only at the end of the whole
-// body.
+// Read implements io.Reader. It returns io.EOF only at the end of the complete body.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err == io.EOF {
-		r.call.whole = true
+		r.call.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to
-// its end and nothing speaks against using it again.
-func (r *Response) Close() { r.call.end(r.call.whole && !r.call.last) }
+// Close ends the exchange. The connection is reused if the response was read to its end and is in
+// a known state.
+func (r *Response) Close() { r.call.end(r.call.complete && !r.call.noReuse) }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -23,7 +23,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-var serverAddr = netip.MustParseAddrPort("10.0.0.1:80")
+var endpointAddr = netip.MustParseAddrPort("10.0.0.1:80")
 
 type testProtocol struct{}
 
@@ -31,24 +31,24 @@
 	return Answer{RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != ""}
 }
 
-// answerTo is a whole answer to a request.
+// answerTo is a complete response to a request.
 func answerTo(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 func newClient(mem *netx.Mem) *Client {
 	return New(Options{
-		Net: mem.Site("node"), Protocol: testProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{}),
+		Net: mem.Site("instance"), Protocol: testProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{}),
 	})
 }
 
-// play serves each connection by a script: what to write after each request.
-// An empty answer closes the connection. It returns a client, and how many
-// connections were made.
-func play(t *testing.T, scripts ...[]string) (*Client, *int) {
+// startEndpoint starts an endpoint that handles each connection by a script: what to write after
+// each request. An empty string closes the connection. It returns a client and the number of
+// connections made.
+func startEndpoint(t *testing.T, scripts ...[]string) (*Client, *int) {
 	t.Helper()
 	mem := netx.NewMem(func(string, string) time.Duration { return time.Millisecond })
-	l, err := mem.Site("server").Listen(serverAddr)
+	l, err := mem.Site("endpoint").Listen(endpointAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 }
 
 func call(id string) *Call {
-	return &Call{Endpoint: registry.Endpoint{ID: "s", Addr: serverAddr}, Method: http.MethodPost, URI: "/a/b?c=%20d", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"), ID: id}
+	return &Call{Endpoint: registry.Endpoint{ID: "s", Addr: endpointAddr}, Method: http.MethodPost, URI: "/a/b?c=%20d", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"), ID: id}
 }
 
 func send(t *testing.T, c *Client, id string) (string, error) {
@@ -98,14 +98,14 @@
 	return string(b), err
 }
 
-func bubble(t *testing.T, f func(t *testing.T, is *is.I)) {
+func inVirtualTime(t *testing.T, f func(t *testing.T, is *is.I)) {
 	t.Helper()
 	virtual.Test(t, func(t *testing.T) { f(t, is.New(t)) })
 }
 
 func TestAConnectionIsKept(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
-		c, conns := play(t, []string{answerTo("1", "one"), answerTo("2", "two")})
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
+		c, conns := startEndpoint(t, []string{answerTo("1", "one"), answerTo("2", "two")})
 		b, err := send(t, c, "1")
 		is.NoErr(err)
 		is.Equal(b, "one")
@@ -118,7 +118,7 @@
 }
 
 func TestNothingSentIsNotRun(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
 		mem := netx.NewMem(func(string, string) time.Duration { return time.Millisecond })
 		_, err := newClient(mem).Send(context.Background(), call("1"))
 		is.Equal(fault.As(err).Run, fault.NotRun)
@@ -126,34 +126,34 @@
 }
 
 func TestARequestThatWasSentMayHaveRun(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
 		for _, answer := range []string{"", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\n"} {
-			c, conns := play(t, []string{answer})
+			c, conns := startEndpoint(t, []string{answer})
 			_, err := send(t, c, "1")
 			is.Equal(fault.As(err).Run, fault.MayHaveRun)
-			is.Equal(*conns, 1) // never sent again by itself
+			is.Equal(*conns, 1) // never retried
 		}
 	})
 }
 
 func TestAnAnswerToAnotherRequestIsSkipped(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
 		late := answerTo("0", "late")
-		c, conns := play(t, []string{late + answerTo("1", "one")}, []string{answerTo("2", "two")})
+		c, conns := startEndpoint(t, []string{late + answerTo("1", "one")}, []string{answerTo("2", "two")})
 		b, err := send(t, c, "1")
 		is.NoErr(err)
 		is.Equal(b, "one")
 		b, err = send(t, c, "2")
 		is.NoErr(err)
 		is.Equal(b, "two")
-		is.Equal(*conns, 2) // the first connection is not trusted any more
+		is.Equal(*conns, 2) // the first connection is not reused
 		c.CloseIdle()
 	})
 }
 
 func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
-		c, conns := play(t, []string{answerTo("1", "one") + answerTo("1", "one")}, []string{answerTo("2", "two")})
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
+		c, conns := startEndpoint(t, []string{answerTo("1", "one") + answerTo("1", "one")}, []string{answerTo("2", "two")})
 		_, err := send(t, c, "1")
 		is.NoErr(err)
 		b, err := send(t, c, "2")
@@ -165,11 +165,11 @@
 }
 
 func TestABodyThatEndsEarlyIsAnError(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
 		short := "HTTP/1.1 200 OK\r\nId: 1\r\nSeal: s\r\nContent-Length: 9\r\n\r\nshort"
 		chunked := "HTTP/1.1 200 OK\r\nId: 1\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n"
 		for _, answer := range []string{short, chunked} {
-			c, _ := play(t, []string{answer})
+			c, _ := startEndpoint(t, []string{answer})
 			_, err := send(t, c, "1")
 			is.True(err != nil)
 			is.True(!errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF))
@@ -188,12 +188,12 @@
 }
 
 func TestAnIdleConnectionIsNotUsedLate(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
-		told := strings.Replace(answerTo("1", "one"), "\r\n\r\n", "\r\nKeep-Alive: timeout=2\r\n\r\n", 1)
-		c, conns := play(t, []string{told, answerTo("2", "two")}, []string{answerTo("2", "two")})
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
+		withKeepAlive := strings.Replace(answerTo("1", "one"), "\r\n\r\n", "\r\nKeep-Alive: timeout=2\r\n\r\n", 1)
+		c, conns := startEndpoint(t, []string{withKeepAlive, answerTo("2", "two")}, []string{answerTo("2", "two")})
 		_, err := send(t, c, "1")
 		is.NoErr(err)
-		time.Sleep(1500 * time.Millisecond) // the server closes it after 2 s
+		time.Sleep(1500 * time.Millisecond) // the endpoint closes it after 2 s
 		_, err = send(t, c, "2")
 		is.NoErr(err)
 		is.Equal(*conns, 2)
@@ -202,8 +202,8 @@
 }
 
 func TestConnectionsToAServerAreBounded(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
-		c, _ := play(t, []string{answerTo("1", "one")}, []string{answerTo("2", "two")})
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
+		c, _ := startEndpoint(t, []string{answerTo("1", "one")}, []string{answerTo("2", "two")})
 		first := call("1")
 		first.MaxConns = 1
 		resp, err := c.Send(context.Background(), first)
@@ -221,9 +221,9 @@
 }
 
 func TestACancelledRequestClosesItsConnection(t *testing.T) {
-	bubble(t, func(t *testing.T, is *is.I) {
+	inVirtualTime(t, func(t *testing.T, is *is.I) {
 		mem := netx.NewMem(func(string, string) time.Duration { return time.Millisecond })
-		l, err := mem.Site("server").Listen(serverAddr)
+		l, err := mem.Site("endpoint").Listen(endpointAddr)
 		is.NoErr(err)
 		closedAt := make(chan time.Time, 1)
 		go func() {
@@ -231,7 +231,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.Copy(io.Discard, conn) // until the node closes it
+			_, _ = io.Copy(io.Discard, conn) // until the client closes it
 			closedAt <- time.Now()
 			_ = conn.Close()
 		}()
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -17,36 +17,36 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// conn is a connection to a server.
+// conn is a connection to an endpoint.
 type conn struct {
-	raw       net.Conn
-	read      *bufio.Reader
-	reused    bool
-	idleSince time.Time
-	idleMax   time.Duration // as the server told; 0 when it did not
-	written   atomic.Int64  // bytes that left
-	headLeft  int           // bytes that a head may still take; negative while a body is read
+	raw           net.Conn
+	reader        *bufio.Reader
+	reused        bool
+	idleSince     time.Time
+	idleTimeout   time.Duration // idle time-out stated by the endpoint; 0 if none
+	written       atomic.Int64  // bytes
+	headRemaining int           // bytes that the response head may still take; negative while a body is read
 }
 
 func newConn(raw net.Conn) *conn {
-	k := &conn{raw: raw, headLeft: -1}
-	k.read = bufio.NewReader(k)
+	k := &conn{raw: raw, headRemaining: -1}
+	k.reader = bufio.NewReader(k)
 	return k
 }
 
-var errHeadTooLong = errors.New("the head of the answer is too long")
+var errHeadTooLong = errors.New("response head exceeds 64 KiB")
 
-// Read implements io.Reader below the buffer, with a bound for heads.
+// Read implements io.Reader below the buffer, with a size limit for response heads.
 func (k *conn) Read(p []byte) (int, error) {
-	if k.headLeft == 0 {
+	if k.headRemaining == 0 {
 		return 0, errHeadTooLong
 	}
-	if k.headLeft > 0 && len(p) > k.headLeft {
-		p = p[:k.headLeft]
+	if k.headRemaining > 0 && len(p) > k.headRemaining {
+		p = p[:k.headRemaining]
 	}
 	n, err := k.raw.Read(p)
-	if k.headLeft > 0 {
-		k.headLeft -= n
+	if k.headRemaining > 0 {
+		k.headRemaining -= n
 	}
 	return n, err
 }
@@ -59,69 +59,69 @@
 
 func (k *conn) sent() int64 { return k.written.Load() }
 
-func (k *conn) shut() { _ = k.raw.Close() }
+func (k *conn) close() { _ = k.raw.Close() }
 
-// idleShare is the part of a server's idle time-out after which a connection
-// is not used any more: a request must not cross the server's close.
-const idleShare = 0.6
+// idleFraction is the fraction of an endpoint's idle time-out after which a connection is no longer
+// used: a request must not be sent while the endpoint closes the connection.
+const idleFraction = 0.6
 
-// usable reports whether a kept connection may take another request.
+// usable reports whether an idle connection may carry another request.
 func (k *conn) usable(now time.Time, most time.Duration) bool {
-	limit := maxIdleTime
-	if k.idleMax > 0 {
-		limit = min(limit, time.Duration(idleShare*float64(k.idleMax)))
+	limit := maxIdle
+	if k.idleTimeout > 0 {
+		limit = min(limit, time.Duration(idleFraction*float64(k.idleTimeout)))
 	}
 	if most > 0 {
 		limit = min(limit, most)
 	}
-	return now.Sub(k.idleSince) < limit && k.quiet()
+	return now.Sub(k.idleSince) < limit && k.silent()
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is a request and its response on a connection.
 type exchange struct {
-	client     *Client
-	endpoint   registry.Endpoint
-	conn       *conn
-	sentBefore int64
-	sentAt     time.Time
-	stopWatch  func() bool
-	written    chan error // result of a write that goes on beside the answer; nil when there is none
-	whole      bool       // the answer was read to its end
-	last       bool       // the connection is not to be used again
-	ended      bool
+	client      *Client
+	endpoint    registry.Endpoint
+	conn        *conn
+	sentBefore  int64
+	sentAt      time.Time
+	stopWatch   func() bool
+	bodyWritten chan error // result of writing the body concurrently with reading the response; nil if there is no such write
+	complete    bool       // the response was read to its end
+	noReuse     bool       // the connection must not be reused
+	ended       bool
 }
 
-// watch ends the exchange when ctx does.
+// watch aborts the exchange when ctx ends.
 func (x *exchange) watch(ctx context.Context) {
 	x.sentBefore = x.conn.sent()
 	x.stopWatch = context.AfterFunc(ctx, func() { _ = x.conn.raw.SetDeadline(time.Unix(1, 0)) })
 }
 
-// do writes the request and reads the head of its answer.
+// do writes the request and reads the head of the response.
 func (x *exchange) do(call *Call) (*Response, error) {
 	head := call.head()
-	if len(call.Body) <= inlineBody {
+	if len(call.Body) <= maxInlineBody {
 		if err := x.conn.write(append(head, call.Body...)); err != nil {
 			return nil, err
 		}
 	} else {
-		// A server may answer before it has read a long body.
+		// An endpoint may respond before it has read a long body.
 		if err := x.conn.write(head); err != nil {
 			return nil, err
 		}
-		x.written = make(chan error, 1)
-		go func() { x.written <- x.conn.write(call.Body) }()
+		x.bodyWritten = make(chan error, 1)
+		go func() { x.bodyWritten <- x.conn.write(call.Body) }()
 	}
 	return x.readHead(call)
 }
 
-// readHead returns the answer to the call, past answers to earlier requests.
+// readHead returns the response to the call, skipping responses to other requests.
 func (x *exchange) readHead(call *Call) (*Response, error) {
 	req := &http.Request{Method: call.Method}
-	for range maxWrongOnes {
-		x.conn.headLeft = maxHeaderBytes
-		resp, err := http.ReadResponse(x.conn.read, req)
-		x.conn.headLeft = -1
+	for range maxMismatched {
+		x.conn.headRemaining = maxHeaderBytes
+		resp, err := http.ReadResponse(x.conn.reader, req)
+		x.conn.headRemaining = -1
 		if err != nil {
 			return nil, err
 		}
@@ -129,63 +129,63 @@
 			continue
 		}
 		a := x.client.protocol.Answer(resp.StatusCode, resp.Header)
-		if !a.Misdirected { // else another server speaks, which has the address now
+		if !a.Misdirected { // otherwise the response is from another endpoint, which has the address now
 			now := x.client.clock.Now()
 			x.client.notices.Observe(x.endpoint, a.Notice, now)
 			x.client.limits.Observe(x.endpoint.ID, a.RateLimit, x.sentAt, now)
 		}
 		if a.RequestID != "" && a.RequestID != call.ID {
-			x.last = true // it is no longer certain what comes when
+			x.noReuse = true // the order of responses on this connection is unknown now
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				return nil, fmt.Errorf("skip an answer to another request: %w", err)
+				return nil, fmt.Errorf("skip response to another request: %w", err)
 			}
 			continue
 		}
-		x.last = x.last || resp.Close || a.Close
-		x.conn.idleMax = keepAlive(resp.Header.Get("Keep-Alive"))
+		x.noReuse = x.noReuse || resp.Close || a.Close
+		x.conn.idleTimeout = keepAlive(resp.Header.Get("Keep-Alive"))
 		return &Response{
 			Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Answer: a,
 			Reused: x.conn.reused, body: resp.Body, call: x,
 		}, nil
 	}
-	return nil, errors.New("answers to other requests only")
+	return nil, errors.New("received only responses to other requests")
 }
 
-// end gives the connection back, or closes it.
+// end returns the connection to the pool, or closes it.
 func (x *exchange) end(reuse bool) {
 	if x.ended {
 		return
 	}
 	x.ended = true
 	if !x.stopWatch() {
-		reuse = false // its deadline was set
+		reuse = false // watch has set its deadline
 	}
-	if x.written != nil {
+	if x.bodyWritten != nil {
 		select {
-		case err := <-x.written:
+		case err := <-x.bodyWritten:
 			reuse = reuse && err == nil
 		default:
-			reuse = false // the server answered before it had read the body
+			reuse = false // the endpoint responded before it had read the body
 		}
 	}
-	if !reuse || x.conn.read.Buffered() > 0 {
+	if !reuse || x.conn.reader.Buffered() > 0 {
 		x.client.discard(x.endpoint.ID, x.conn)
 		return
 	}
-	x.client.keep(x.endpoint.ID, x.conn)
+	x.client.release(x.endpoint.ID, x.conn)
 }
 
 // head returns the request line and the headers.
 func (c *Call) head() []byte {
 	var b bytes.Buffer
-	b.Grow(1024 + min(len(c.Body), inlineBody))
+	b.Grow(1024 + min(len(c.Body), maxInlineBody))
 	b.WriteString(c.Method)
 	b.WriteByte(' ')
 	b.WriteString(c.URI)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(c.Host)
 	b.WriteString("\r\n")
-	_ = c.Header.Write(&b) // a buffer takes everything
+	_ = c.Header.Write(&b) // a bytes.Buffer never fails
 	if len(c.Body) > 0 || c.Method != http.MethodGet && c.Method != http.MethodHead {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(c.Body)))
@@ -195,7 +195,7 @@
 	return b.Bytes()
 }
 
-// keepAlive returns the idle time-out that a Keep-Alive header tells, or 0.
+// keepAlive returns the idle time-out stated in a Keep-Alive header, or 0.
 func keepAlive(line string) time.Duration {
 	for item := range strings.SplitSeq(line, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
--- a/internal/backend/quiet.go
+++ b/internal/backend/quiet.go
@@ -2,10 +2,10 @@
 
 import "syscall"
 
-// quiet reports whether an idle connection still stands and brought nothing
-// unasked. Where the connection is not a socket it is taken to be well.
-func (k *conn) quiet() bool {
-	if k.read.Buffered() > 0 {
+// silent reports whether an idle connection is still open and has received nothing. A connection
+// that is not a socket counts as silent.
+func (k *conn) silent() bool {
+	if k.reader.Buffered() > 0 {
 		return false
 	}
 	sock, ok := k.raw.(syscall.Conn)
@@ -21,7 +21,7 @@
 		var one [1]byte
 		n, err := syscall.Read(int(fd), one[:])
 		well = n < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
-		return true // never wait
+		return true // do not wait for data
 	})
 	return err == nil && well
 }
