--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,65 +1,69 @@
-// Package retry holds the budget of second tries over all nodes together.
+// Package retry implements retry budgets that hold over all instances together.
 //
-// Each node spends its own part: a share of the requests that it sent, and its
-// part of the slack that all nodes have. So the sum holds without a message,
-// as long as each node knows about how many nodes there are.
+// Each instance spends only its own part: a fraction of the requests that it sent, and its part of
+// the slack of all instances. The total is kept without communication, as long as each instance
+// knows roughly how many instances there are.
 //
-// The package is pure; a Budget belongs to one goroutine at a time.
+// The package is pure; a Budget must not be used concurrently.
 package retry
 
 import "time"
 
-// Terms are what all nodes together may spend in a window.
+// Limits is the retry budget of all instances together, for any window.
 type Terms struct {
-	Ratio  float64       // second tries for each request
-	Slack  float64       // second tries beside
-	Window time.Duration // of the slack
+	Ratio  float64       // retries per request
+	Slack  float64       // further retries per window
+	Window time.Duration // length of the window that the slack is for
 }
 
-// Parts of the terms that are used; the rest covers nodes that come and go.
+// Fractions of the limits that are used. The rest allows for instances that start or stop, while
+// the number of instances is not known exactly.
 const (
-	ratioUsed = 0.75
-	slackUsed = 0.35 // at once, and once more over a window
-	slackKept = 0.25 // of the slack: what all nodes may have saved of their requests at the most
+	ratioFraction    = 0.75
+	slackFraction    = 0.35 // of the slack: available at once, and once more over a window
+	maxSavedFraction = 0.25 // of the slack: maximum that all instances together may accumulate from their requests
 )
 
-// Budget is one node's budget for one service.
+// Budget is the budget of one instance for one service.
 type Budget struct {
 	level float64
 	at    time.Time
 }
 
-// most returns what a node may save up.
-func (t Terms) most(nodes int) float64 { return slackUsed * t.Slack / float64(max(1, nodes)) }
+// slackPart returns the part of the slack that an instance may accumulate.
+func (t Terms) slackPart(instances int) float64 {
+	return slackFraction * t.Slack / float64(max(1, instances))
+}
 
-// cap returns what a node may have altogether: its part of the slack, and what its
-// requests brought, which must not add up to much over many nodes.
-func (t Terms) cap(nodes int) float64 {
-	return t.most(nodes) + min(t.Ratio, slackKept*t.Slack/float64(max(1, nodes)))
+// maxLevel returns the maximum level of an instance: its part of the slack and what it accumulated
+// from requests. The latter is limited because it adds up over many instances.
+func (t Terms) maxLevel(instances int) float64 {
+	return t.slackPart(instances) + min(t.Ratio, maxSavedFraction*t.Slack/float64(max(1, instances)))
 }
 
-func (b *Budget) fill(t Terms, nodes int, now time.Time) {
-	most := t.most(nodes)
+func (b *Budget) refill(t Terms, instances int, now time.Time) {
+	part := t.slackPart(instances)
 	if b.at.IsZero() {
-		b.level = most
+		b.level = part
 	} else {
-		b.level += most * float64(now.Sub(b.at)) / float64(max(t.Window, time.Second))
+		b.level += part * float64(now.Sub(b.at)) / float64(max(t.Window, time.Second))
 	}
-	b.level = min(b.level, t.cap(nodes))
+	b.level = min(b.level, t.maxLevel(instances))
 	b.at = now
 }
 
-// Sent takes note of a request's first try.
-func (b *Budget) Sent(t Terms, nodes int, now time.Time) {
-	b.fill(t, nodes, now)
-	b.level = min(b.level+ratioUsed*t.Ratio, t.cap(nodes))
+// RecordRequest adds the share of a request's first attempt to the budget.
+func (b *Budget) Sent(t Terms, instances int, now time.Time) {
+	b.refill(t, instances, now)
+	b.level = min(b.level+ratioFraction*t.Ratio, t.maxLevel(instances))
 }
 
-// Take asks for a second try. draw is a random number from 0 to 1: a node of a large
-// fleet never has a whole try, and may go into debt as often as it has a part of one.
-// With 295 nodes none of the failures of an endpoint was tried again before.
-func (b *Budget) Take(t Terms, nodes int, draw float64, now time.Time) bool {
-	b.fill(t, nodes, now)
+// Take takes a retry from the budget and reports whether it is allowed. draw is a random number
+// from 0 to 1: an instance of a large fleet never accumulates a whole retry, so it may overdraw
+// its budget with a probability equal to the fraction that it has. Without this, no failed request
+// was retried in a fleet of 295 instances.
+func (b *Budget) Take(t Terms, instances int, draw float64, now time.Time) bool {
+	b.refill(t, instances, now)
 	if b.level <= draw {
 		return false
 	}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes when at which node: in no window are there more second tries
-// than the terms allow all nodes together.
+// For any distribution of requests and failures over the instances, no window has more retries
+// than the limits allow all instances together.
 func TestTheBudgetOfAllNodesHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Ratio: 0.2, Slack: rapid.Float64Range(56, 630).Draw(t, "slack"), Window: 10 * time.Second}
-		nodes := rapid.IntRange(1, 400).Draw(t, "nodes")
+		limits := Terms{Ratio: 0.2, Slack: rapid.Float64Range(56, 630).Draw(t, "slack"), Window: 10 * time.Second}
+		instances := rapid.IntRange(1, 400).Draw(t, "instances")
 		rate := rapid.Float64Range(0, 200).Draw(t, "requests a second")
 		failing := rapid.Float64Range(0, 1).Draw(t, "share that fails")
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5))
-		budgets := make([]Budget, nodes)
+		budgets := make([]Budget, instances)
 		now := time.Unix(1000, 0)
 		const step, window = 50 * time.Millisecond, 200
 		var first, second []int
@@ -25,11 +25,11 @@
 			now = now.Add(step)
 			f, s := 0, 0
 			for asked := rate * step.Seconds(); asked > rnd.Float64(); asked-- {
-				b := &budgets[rnd.IntN(nodes)]
-				b.Sent(terms, nodes, now)
+				b := &budgets[rnd.IntN(instances)]
+				b.Sent(limits, instances, now)
 				f++
-				for range 3 { // several tries of one request
-					if rnd.Float64() < failing && b.Take(terms, nodes, rnd.Float64(), now) {
+				for range 3 { // several attempts of one request
+					if rnd.Float64() < failing && b.Take(limits, instances, rnd.Float64(), now) {
 						s++
 					}
 				}
@@ -44,36 +44,35 @@
 				requests -= first[i-window]
 				tries -= second[i-window]
 			}
-			if float64(tries) > terms.Ratio*float64(requests)+terms.Slack {
+			if float64(tries) > limits.Ratio*float64(requests)+limits.Slack {
 				t.Fatalf("%d second tries for %d requests", tries, requests)
 			}
 		}
 	})
 }
 
-// A seventh of the requests fails at first. In a large fleet each node sees few of
-// them, and the part of the slack that it has is less than one try; most of them are
-// tried again all the same.
+// One request in seven fails at its first attempt. In a large fleet each instance sees few of them,
+// and its part of the slack is less than one retry; most of them are retried nevertheless.
 func TestSecondTriesInALargeFleet(t *testing.T) {
-	terms := Terms{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
-	for nodes, least := range map[int]float64{8: 0.95, 83: 0.95, 295: 0.7, 1000: 0.3} {
-		rnd := rand.New(rand.NewPCG(1, uint64(nodes)))
-		budgets := make([]Budget, nodes)
+	limits := Terms{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
+	for instances, least := range map[int]float64{8: 0.95, 83: 0.95, 295: 0.7, 1000: 0.3} {
+		rnd := rand.New(rand.NewPCG(1, uint64(instances)))
+		budgets := make([]Budget, instances)
 		now := time.Unix(1000, 0)
 		failed, again := 0, 0
 		for range 6000 {
 			now = now.Add(4 * time.Millisecond)
-			b := &budgets[rnd.IntN(nodes)]
-			b.Sent(terms, nodes, now)
+			b := &budgets[rnd.IntN(instances)]
+			b.Sent(limits, instances, now)
 			if rnd.Float64() > 1.0/7 {
 				continue
 			}
 			failed++
-			if b.Take(terms, nodes, rnd.Float64(), now) {
+			if b.Take(limits, instances, rnd.Float64(), now) {
 				again++
 			}
 		}
-		t.Logf("%d nodes: %d of %d tried again", nodes, again, failed)
+		t.Logf("%d instances: %d of %d tried again", instances, again, failed)
 		if float64(again) < least*float64(failed) {
 			t.Fail()
 		}
