--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,12 +1,11 @@
-// Package place lets a few hubs choose servers for all nodes of a large fleet.
+// Package place lets a few hubs choose endpoints for all instances of a large fleet.
 //
-// Nodes that choose by seconds-old updates of each other send their
-// requests to the same servers. So the servers are divided among the hubs; a
-// hub knows all requests that run at its servers, since it placed them, and
-// hears how each goes on. A node asks the two hubs that a request's subject
-// belongs to and takes the better offer.
+// Instances that choose by reports of each other that are seconds old send their requests to the
+// same endpoints. So the endpoints are divided among the hubs. A hub knows all requests in
+// progress at its endpoints, since it placed them and is notified of their progress. An instance
+// asks the two hubs that a request's affinity key maps to and takes the better offer.
 //
-// Desk is a hub's side and is safe for concurrent use.
+// Scheduler is a hub's side and is safe for concurrent use.
 package place
 
 import (
@@ -20,83 +19,83 @@
 	"github.com/shelfcrank/shelfcrank/internal/rendezvous"
 )
 
-// Offer is the best of a hub's servers for a request.
+// Offer is the best of a hub's endpoints for a request. The request counts there until it is done.
 type Offer struct {
 	Endpoint string
 	Cost     float64 // see balance.Choice
-	Uncached int     // prompt tokens that it probably has to read
-	Ticket   uint64  // names the request in notes; it counts until it is done
+	Uncached int     // prompt tokens that the endpoint probably has to process, as they are not in its cache
+	Ticket   uint64  // identifies the request in progress reports
 }
 
-// Note tells how a request that was placed went on.
+// Progress reports the progress of a request that was placed.
 type Note struct {
 	Ticket uint64
-	Read   bool // the prompt was read
+	Read   bool // the endpoint has processed the prompt
 	Done   bool
-	Result balance.Result // when done
+	Result balance.Result // set if Done is
 }
 
-// Asker is the node that a request is placed for.
+// Requester is the instance that a request is placed for.
 type Asker struct {
 	Instance    string
-	Incarnation int64 // a restarted node has a higher one
+	Incarnation int64 // increases with each restart of the instance
 }
 
-type held struct {
-	ticket *balance.Ticket
-	asker  Asker
-	until  time.Time // when the request is given up on at the latest
+type openRequest struct {
+	ticket    *balance.Ticket
+	requester Asker
+	deadline  time.Time // when the request has ended at the latest
 }
 
-// Desk places requests on the servers of one hub.
+// Scheduler places requests on the endpoints of one hub.
 type Desk struct {
 	tracker *balance.Tracker
 
-	mu     sync.Mutex
-	last   uint64           // guarded by mu
-	open   map[uint64]held  // guarded by mu
-	starts map[string]int64 // newest incarnation of each node; guarded by mu
+	mu           sync.Mutex
+	lastTicket   uint64                 // guarded by mu
+	open         map[uint64]openRequest // guarded by mu
+	incarnations map[string]int64       // highest known incarnation of each instance; guarded by mu
 }
 
-// New returns a desk that has placed nothing yet. Its tickets differ from those
-// of a desk that was started earlier.
+// New returns a scheduler without open requests. Its tickets differ from those of a scheduler that
+// was started earlier.
 func New(start time.Time) *Desk {
 	return &Desk{
-		tracker: balance.NewTracker(), last: uint64(start.UnixNano()),
-		open: make(map[uint64]held), starts: make(map[string]int64),
+		tracker: balance.NewTracker(), lastTicket: uint64(start.UnixNano()),
+		open: make(map[uint64]openRequest), incarnations: make(map[string]int64),
 	}
 }
 
-// Offer places a request of a node on the best of the servers. It counts there
+// Offer places a request of an instance on the best of the endpoints. The request counts there
 // until it is done, or until a deadline.
-func (d *Desk) Offer(asker Asker, servers []registry.Endpoint, r *balance.Request, until, now time.Time) (Offer, bool) {
-	d.met(asker, now)
-	ticket, ok := d.tracker.Pick(servers, r, now)
+func (d *Desk) Offer(requester Asker, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (Offer, bool) {
+	d.observeIncarnation(requester, now)
+	ticket, ok := d.tracker.Pick(endpoints, r, now)
 	if !ok {
 		return Offer{}, false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last++
-	d.open[d.last] = held{ticket, asker, until}
-	return Offer{Endpoint: ticket.Endpoint.ID, Cost: ticket.Cost, Uncached: ticket.Uncached, Ticket: d.last}, true
+	d.lastTicket++
+	d.open[d.lastTicket] = openRequest{ticket, requester, until}
+	return Offer{Endpoint: ticket.Endpoint.ID, Cost: ticket.Cost, Uncached: ticket.Uncached, Ticket: d.lastTicket}, true
 }
 
-// met ends what ran for an earlier incarnation of a node.
-func (d *Desk) met(asker Asker, now time.Time) {
+// observeIncarnation ends the requests of an earlier incarnation of an instance.
+func (d *Desk) observeIncarnation(requester Asker, now time.Time) {
 	d.mu.Lock()
-	restarted := asker.Incarnation > d.starts[asker.Instance]
-	d.starts[asker.Instance] = max(asker.Incarnation, d.starts[asker.Instance])
+	restarted := requester.Incarnation > d.incarnations[requester.Instance]
+	d.incarnations[requester.Instance] = max(requester.Incarnation, d.incarnations[requester.Instance])
 	d.mu.Unlock()
 	if restarted {
-		d.end(func(h held) bool {
-			return h.asker.Instance == asker.Instance && h.asker.Incarnation < asker.Incarnation
+		d.endWhere(func(h openRequest) bool {
+			return h.requester.Instance == requester.Instance && h.requester.Incarnation < requester.Incarnation
 		}, now)
 	}
 }
 
-// end ends the requests that are over, without a verdict on their servers.
-func (d *Desk) end(over func(held) bool, now time.Time) {
+// endWhere ends the requests for which over is true. Their results do not count for the endpoints.
+func (d *Desk) endWhere(over func(openRequest) bool, now time.Time) {
 	var tickets []*balance.Ticket
 	d.mu.Lock()
 	for id, h := range d.open {
@@ -111,7 +110,7 @@
 	}
 }
 
-// Note takes a note.
+// Update applies a progress report. Reports on requests that have ended are ignored.
 func (d *Desk) Note(note Note, now time.Time) {
 	d.mu.Lock()
 	h, ok := d.open[note.Ticket]
@@ -130,30 +129,30 @@
 	}
 }
 
-// Adopt makes the desk go by what the node learned of the servers.
-func (d *Desk) Adopt(lessons balance.Estimates) { d.tracker.Adopt(lessons) }
+// AdoptEstimates makes the scheduler use its instance's estimates of the endpoints.
+func (d *Desk) Adopt(estimates balance.Estimates) { d.tracker.Adopt(estimates) }
 
-// Estimates returns what the desk learned from all that it placed.
+// Estimates returns the estimates from all requests that the scheduler placed.
 func (d *Desk) Estimates() balance.Estimates { return d.tracker.Estimates() }
 
-// Open returns how many requests are placed and not done.
+// Open returns the number of open requests.
 func (d *Desk) Open() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.open)
 }
 
-// Expire ends what must be over: notes may be lost, and nodes die. known says
-// whether a node is a member, wanted whether a server is still there.
+// Expire ends requests that must be over, since progress reports may be lost and instances may
+// crash. known reports whether an instance is a member, wanted whether an endpoint still exists.
 func (d *Desk) Expire(known, wanted func(name string) bool, now time.Time) {
-	d.end(func(h held) bool { return now.After(h.until) || !known(h.asker.Instance) }, now)
+	d.endWhere(func(h openRequest) bool { return now.After(h.deadline) || !known(h.requester.Instance) }, now)
 	d.tracker.Forget(wanted)
 }
 
-// Owned returns those of the servers that belong to a hub.
-func Owned(hub string, hubs []string, servers []registry.Endpoint) []registry.Endpoint {
+// Owned returns those of the endpoints that a hub is responsible for.
+func Owned(hub string, hubs []string, endpoints []registry.Endpoint) []registry.Endpoint {
 	var owned []registry.Endpoint
-	for _, s := range servers {
+	for _, s := range endpoints {
 		if rendezvous.Best(xxhash.Sum64String(s.ID), hubs) == hub {
 			owned = append(owned, s)
 		}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func servers(n int) []registry.Endpoint {
+func endpoints(n int) []registry.Endpoint {
 	var out []registry.Endpoint
 	for i := range n {
 		out = append(out, registry.Endpoint{ID: fmt.Sprint("s", i), Service: "llm"})
@@ -25,20 +25,19 @@
 	return &balance.Request{Service: "llm", ID: id, Engine: true, Slots: 4, Tokens: 1000}
 }
 
-// Requests of many nodes that know nothing of each other fill the servers
-// evenly.
+// Requests of many instances that know nothing of each other are spread evenly over the endpoints.
 func TestADeskKnowsAllThatItPlaced(t *testing.T) {
 	is := is.New(t)
 	d := New(start)
 	got := make(map[string]int)
 	for i := range 24 {
-		o, ok := d.Offer(Asker{fmt.Sprint("n", i), 1}, servers(6), prompt(fmt.Sprint(i)), start.Add(time.Minute), start)
+		o, ok := d.Offer(Asker{fmt.Sprint("n", i), 1}, endpoints(6), prompt(fmt.Sprint(i)), start.Add(time.Minute), start)
 		is.True(ok)
 		got[o.Endpoint]++
 	}
 	for id, n := range got {
 		t.Log(id, n)
-		is.True(n <= 4) // no server is over its slots while another has room
+		is.True(n <= 4) // no endpoint exceeds its slots while another has a free one
 	}
 }
 
@@ -46,8 +45,8 @@
 	is := is.New(t)
 	d := New(start)
 	all := func(string) bool { return true }
-	offer := func(node string, incarnation int64) Offer {
-		o, ok := d.Offer(Asker{node, incarnation}, servers(1), prompt("x"), start.Add(time.Minute), start)
+	offer := func(instance string, incarnation int64) Offer {
+		o, ok := d.Offer(Asker{instance, incarnation}, endpoints(1), prompt("x"), start.Add(time.Minute), start)
 		is.True(ok)
 		return o
 	}
@@ -55,13 +54,13 @@
 	d.Note(Note{Ticket: a.Ticket, Read: true}, start)
 	is.Equal(d.Open(), 1)
 	d.Note(Note{Ticket: a.Ticket, Done: true}, start)
-	d.Note(Note{Ticket: a.Ticket, Done: true}, start) // told twice
+	d.Note(Note{Ticket: a.Ticket, Done: true}, start) // reported twice
 	is.Equal(d.Open(), 0)
 	offer("a", 1)
-	offer("a", 2) // restarted: the first died with it
+	offer("a", 2) // restarted: the earlier request ended with the process
 	is.Equal(d.Open(), 1)
 	offer("b", 1)
-	d.Expire(func(node string) bool { return node != "a" }, all, start)
+	d.Expire(func(instance string) bool { return instance != "a" }, all, start)
 	is.Equal(d.Open(), 1)
 	d.Expire(all, all, start.Add(2*time.Minute))
 	is.Equal(d.Open(), 0)
@@ -72,7 +71,7 @@
 	hubs := []string{"h1", "h2", "h3", "h4"}
 	owners := make(map[string]int)
 	for _, h := range hubs {
-		for _, s := range Owned(h, []string{"h4", "h2", "h3", "h1"}, servers(80)) {
+		for _, s := range Owned(h, []string{"h4", "h2", "h3", "h1"}, endpoints(80)) {
 			owners[s.ID]++
 		}
 	}
