--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -91,9 +91,9 @@
 	engineJitter        = 25 * time.Millisecond  // maximum random part of the cost at model endpoints: instances that decide at the same time have the same data
 )
 
-// interference returns how much the processing of a prompt delays the streams at its endpoint, about 1
-// for a long prompt. It grows with the square of the length: a processing step takes longer with
-// each token, as attention covers all tokens before it.
+// interference returns how much the processing of a prompt delays the streams at its endpoint,
+// about 1 for a long prompt. It grows with the square of the length: a processing step takes longer
+// with each token, as attention covers all tokens before it.
 func interference(tokens int) float64 {
 	x := float64(tokens) / longPromptTokens
 	return min(maxInterference, x*x)
--- a/internal/balance/estimate.go
+++ b/internal/balance/estimate.go
@@ -14,7 +14,7 @@
 // estimator holds the measurements of a service by this instance, and the estimates combined
 // from those of all instances.
 type estimator struct {
-	prefill      pace.Learner
+	prefill      pace.Estimator
 	interference interferenceRisk
 	pace         pace.Model // combined over all instances
 	risk         float64    // combined over all instances
@@ -23,10 +23,10 @@
 
 func newEstimator() estimator { return estimator{interference: newInterferenceRisk()} }
 
-// interferenceRisk estimates how much the processing (prefill) of long prompts disturbs streams at the
-// same endpoint. Some model endpoints process a prompt in chunks so small that no stream is
-// delayed, at others all streams stall; only the pauses of streams show which. What delays
-// streams with and without a long prompt beside them does not count.
+// interferenceRisk estimates how much the processing (prefill) of long prompts disturbs streams at
+// the same endpoint. Some model endpoints process a prompt in chunks so small that no stream is
+// delayed, at others all streams stall; only the pauses of streams show which. What delays streams
+// both with and without a long prompt beside them does not count.
 type interferenceRisk struct {
 	beside share // share of late streams among those with a long prompt beside them
 	apart  share // share of late streams among the others
@@ -85,7 +85,7 @@
 			instances++
 		}
 	}
-	s.pace, s.risk = pace.Agreed(models), risk/instances
+	s.pace, s.risk = pace.Mean(models), risk/instances
 }
 
 // Estimates returns what this instance has measured itself, including what it measured as a hub.
@@ -96,7 +96,7 @@
 	for name, s := range t.services {
 		if s.engine {
 			own := pace.Opinion{Model: s.prefill.Model(), Weight: s.prefill.Weight()}
-			out[name] = Estimate{pace.Joined(own, t.hubEstimates[name].Pace), s.interference.risk()}
+			out[name] = Estimate{pace.Merge(own, t.hubEstimates[name].Pace), s.interference.risk()}
 		}
 	}
 	return out
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -78,7 +78,7 @@
 // work returns how long the request keeps an endpoint busy, in nanoseconds.
 func (k *Ticket) work() float64 {
 	if k.request.Engine {
-		return float64(k.service.pace.Reading(k.Uncached))
+		return float64(k.service.pace.PrefillTime(k.Uncached))
 	}
 	return k.service.work
 }
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -101,7 +101,7 @@
 	k.Cost, k.queued, k.measured = best.Cost, v.Prompt, true
 	k.expected = service.work
 	if r.Engine {
-		k.expected = float64(service.pace.First(k.Uncached)) + float64(v.Prompt)*service.pace.Token
+		k.expected = float64(service.pace.FirstEventTime(k.Uncached)) + float64(v.Prompt)*service.pace.Token
 	}
 	if shared > 0 {
 		k.state.addPrefix(hash, now)
@@ -129,7 +129,7 @@
 	st.load.Prompt += uncached
 	st.load.Holdup += k.interference
 	if k.interference >= longInterference {
-		st.longPromptAt = now.Add(service.pace.Reading(uncached))
+		st.longPromptAt = now.Add(service.pace.PrefillTime(uncached))
 	}
 	service.busyRate.Add(k.work(), demandWindow, now)
 	if uncached >= broadcastTokens {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,13 +1,12 @@
-// Package pace learns how long the model endpoints of a service take until the
-// first event of an answer, from what was observed.
+// Package pace estimates how long the model endpoints of a service take until the first event of a
+// response, from measured requests.
 //
-// An endpoint needs a moment for any request, a time for each token of the prompt
-// that it has to read, and, as each token is weighed against all before it, a
-// time that grows with the square of the length. A Learner keeps, for ranges of
-// prompt lengths, what requests took there of late, and fits these three times
-// to it.
+// That time has a constant part, a part proportional to the number of prompt tokens to be processed
+// (prefill), and, as attention relates each token to all before it, a part that grows with the
+// square of the length. An Estimator keeps a moving average of the measured times for each range of
+// prompt lengths and fits the three coefficients to them.
 //
-// The package is pure; a Learner belongs to one goroutine at a time.
+// The package is pure; an Estimator must not be used concurrently.
 package pace
 
 import (
@@ -16,102 +15,101 @@
 	"time"
 )
 
-// Model is what is assumed of a service's endpoints. Times are in nanoseconds.
+// Model is the latency model of a service's endpoints. Times are in nanoseconds.
 type Model struct {
-	Base  float64 // of any request
-	Token float64 // of each token to be read
-	Pair  float64 // of each pair of tokens of one prompt
+	Base  float64 // constant part
+	Token float64 // per token to be processed
+	Pair  float64 // per pair of tokens of one prompt
 }
 
-// Reading returns the time that an endpoint is busy reading so many tokens.
-func (m Model) Reading(tokens int) time.Duration {
+// PrefillTime returns how long an endpoint is busy processing the given number of tokens.
+func (m Model) PrefillTime(tokens int) time.Duration {
 	x := float64(tokens)
 	return time.Duration(m.Token*x + m.Pair*x*x)
 }
 
-// First returns the time to the first event of a request alone at an endpoint.
-func (m Model) First(tokens int) time.Duration {
-	return time.Duration(m.Base) + m.Reading(tokens)
+// FirstEventTime returns the time to the first event of a request alone at an endpoint.
+func (m Model) FirstEventTime(tokens int) time.Duration {
+	return time.Duration(m.Base) + m.PrefillTime(tokens)
 }
 
-// Prior is assumed before anything was observed. Endpoints differ by more than
-// ten: 5 to 50 microseconds a token; this is the middle of that on a scale of
-// factors.
+// Prior is the model used before any measurement. Endpoints differ by a factor of ten, from 5 to 50
+// microseconds per token; Prior is the geometric mean.
 var Prior = Model{Base: 15 * float64(time.Millisecond), Token: 16 * float64(time.Microsecond)}
 
-// Terms of a Learner.
+// Parameters of an Estimator.
 const (
-	ranges    = 18                    // of lengths: each is twice as long as the one before it
-	memory    = 48                    // observations of a range that count; older ones fade
-	clipHigh  = 1.5                   // an observation counts as no more than so many times the usual: it may have waited for what is not known here,
-	clipLow   = 3.0                   // and as no less than the usual divided by this
-	leastTook = 50 * time.Microsecond // nothing answers sooner,
-	mostTook  = 10 * time.Minute      // and no client waits longer: they bound the weight of one observation
-	credible  = 6                     // observations from which the model tells what is usual,
-	ownUsual  = 4                     // and those of one range from which they tell it themselves
-	priorSeen = 0.25                  // observations that the prior counts for at each of its lengths
+	numRanges   = 18                    // number of ranges of lengths, each twice as long as the one before
+	maxCount    = 48                    // measurements of a range that are averaged over; older ones fade
+	clipHigh    = 1.5                   // a measurement counts as no more than this multiple of the expected time, as the request may have waited for work that this instance does not know of,
+	clipLow     = 3.0                   // and as no less than the expected time divided by this
+	minTime     = 50 * time.Microsecond // lower bound of a measurement, faster than any real response,
+	maxTime     = 10 * time.Minute      // and upper bound, longer than any client waits: they limit the weight of one measurement
+	minForModel = 6                     // measurements after which the model gives the expected time
+	minForRange = 4                     // measurements of a range after which its own average gives the expected time
+	priorWeight = 0.25                  // weight of the prior at each of its lengths, in measurements
 )
 
-// priorLengths are those at which the prior counts as observed: a short, a usual
-// and a long prompt.
+// priorLengths are the prompt lengths at which the prior counts as measured: short, typical and
+// long.
 var priorLengths = []int{100, 3000, 30_000}
 
-type seen struct {
+type rangeStats struct {
 	count  float64
-	tokens float64 // on the mean
-	took   float64 // nanoseconds, on the mean without outliers
+	tokens float64 // mean
+	took   float64 // nanoseconds, mean with outliers clipped
 }
 
-// Learner learns a Model.
-type Learner struct {
-	seen  [ranges]seen
-	count float64
-	model Model
-	known bool // model is up to date
+// Estimator estimates a Model from measurements.
+type Estimator struct {
+	byRange [numRanges]rangeStats
+	count   float64
+	model   Model
+	fitted  bool // model is up to date
 }
 
-// Observe takes note of a request that found next to nothing else to be read at
-// its endpoint: how many tokens had to be read, and what its first event took.
-func (l *Learner) Observe(tokens int, took time.Duration) {
+// Observe adds a measurement of a request that found almost no other prompt tokens queued at its
+// endpoint: the number of tokens to be processed and the time to the first event.
+func (l *Estimator) Observe(tokens int, took time.Duration) {
 	if tokens < 0 || took <= 0 {
 		return
 	}
-	s := &l.seen[min(bits.Len(uint(tokens)), ranges-1)]
+	s := &l.byRange[min(bits.Len(uint(tokens)), numRanges-1)]
 	t := float64(took)
-	if l.count >= credible {
-		usual := float64(l.Model().First(tokens))
-		if s.count >= ownUsual {
-			usual = s.took * max(1, float64(tokens)/max(1, s.tokens))
+	if l.count >= minForModel {
+		expected := float64(l.Model().FirstEventTime(tokens))
+		if s.count >= minForRange {
+			expected = s.took * max(1, float64(tokens)/max(1, s.tokens))
 		}
-		t = min(max(t, usual/clipLow), usual*clipHigh)
+		t = min(max(t, expected/clipLow), expected*clipHigh)
 	}
-	t = min(max(t, float64(leastTook)), float64(mostTook))
-	s.count = min(s.count+1, memory)
+	t = min(max(t, float64(minTime)), float64(maxTime))
+	s.count = min(s.count+1, maxCount)
 	s.tokens += (float64(tokens) - s.tokens) / s.count
 	s.took += (t - s.took) / s.count
-	l.count = min(l.count+1, memory*ranges)
-	l.known = false
+	l.count = min(l.count+1, maxCount*numRanges)
+	l.fitted = false
 }
 
-// Weight is how many observations the model rests on.
-func (l *Learner) Weight() float64 { return l.count }
+// Weight returns the number of measurements that the model is based on.
+func (l *Estimator) Weight() float64 { return l.count }
 
-// Model returns what was learned.
-func (l *Learner) Model() Model {
-	if !l.known {
-		l.model, l.known = l.fit(), true
+// Model returns the estimated model.
+func (l *Estimator) Model() Model {
+	if !l.fitted {
+		l.model, l.fitted = l.fit(), true
 	}
 	return l.model
 }
 
-// fit finds the three times by least squares of relative errors. A time that
-// would be negative is left out.
-func (l *Learner) fit() Model {
+// fit computes the three coefficients by least squares of the relative errors. If one of them would
+// be negative, it fits a model without the quadratic part, and if need be only the part per token.
+func (l *Estimator) fit() Model {
 	var s sums
 	for _, tokens := range priorLengths {
-		s.add(priorSeen, float64(tokens), float64(Prior.First(tokens)))
+		s.add(priorWeight, float64(tokens), float64(Prior.FirstEventTime(tokens)))
 	}
-	for _, r := range l.seen {
+	for _, r := range l.byRange {
 		if r.count > 0 {
 			s.add(r.count, r.tokens, r.took)
 		}
@@ -121,14 +119,14 @@
 			return Model{Base: x[0], Token: x[1] * perToken, Pair: x[2] * perToken * perToken}
 		}
 	}
-	// Short prompts only, or nothing but noise: all is put down to the tokens.
+	// Only short prompts, or mostly noise: attribute all time to the tokens.
 	return Model{Token: s.right[1] / s.left[1][1] * perToken}
 }
 
-// perToken scales lengths, so that the equations are well-conditioned.
+// perToken scales lengths so that the equations are well-conditioned.
 const perToken = 1e-3
 
-// sums are the normal equations of the fit.
+// sums holds the normal equations of the fit.
 type sums struct {
 	left  [3][3]float64
 	right [3]float64
@@ -146,7 +144,7 @@
 	}
 }
 
-// solve solves the equations for the first terms by elimination.
+// solve solves the equations for the first coefficients, as many as terms, by Gaussian elimination.
 func (s *sums) solve(terms int) (x [3]float64, ok bool) {
 	a, b := s.left, s.right
 	for i := range terms {
@@ -174,18 +172,17 @@
 	return x, true
 }
 
-// Opinion is a model and the observations that it rests on.
+// WeightedModel is a model with the number of measurements that it is based on.
 type Opinion struct {
 	Model  Model
 	Weight float64
 }
 
-// Agreed returns the mean of opinions by their weights, the prior if there are
-// none.
-func Agreed(opinions []Opinion) Model {
+// Mean returns the weighted mean of models, or the prior if the weights are zero.
+func Mean(models []Opinion) Model {
 	var sum Model
 	total := 0.0
-	for _, o := range opinions {
+	for _, o := range models {
 		sum.Base += o.Weight * o.Model.Base
 		sum.Token += o.Weight * o.Model.Token
 		sum.Pair += o.Weight * o.Model.Pair
@@ -197,11 +194,11 @@
 	return Model{Base: sum.Base / total, Token: sum.Token / total, Pair: sum.Pair / total}
 }
 
-// Joined returns one opinion in place of several.
-func Joined(opinions ...Opinion) Opinion {
-	joined := Opinion{Model: Agreed(opinions)}
-	for _, o := range opinions {
-		joined.Weight += o.Weight
+// Merge returns the weighted mean of models with the sum of their weights.
+func Merge(models ...Opinion) Opinion {
+	merged := Opinion{Model: Mean(models)}
+	for _, o := range models {
+		merged.Weight += o.Weight
 	}
-	return joined
+	return merged
 }
