--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -16,8 +16,8 @@
 // of it is passed on, so that a response that breaks off can be replaced by an error or a retry.
 const maxBuffered = 256 << 10
 
-// handleResponse handles an endpoint's response: passes it on, or asks for another attempt if that may
-// give a better one.
+// handleResponse passes an endpoint's response on, or asks for another attempt if that may give a
+// better one.
 func (h *Handler) handleResponse(ctx context.Context, w http.ResponseWriter, q *request, ticket *balance.Ticket, resp *backend.Response) outcome {
 	q.mayHaveRun = true
 	ok := resp.Status >= 200 && resp.Status < 300
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -172,7 +172,8 @@
 	return h.handleResponse(ctx, w, q, ticket, resp)
 }
 
-// statusUnlessRun returns status, which claims that the request was not run, or 502 if it may have run.
+// statusUnlessRun returns status, which claims that the request was not run, or 502 if it may have
+// run.
 func (h *Handler) statusUnlessRun(q *request, status int) int {
 	if q.mayHaveRun {
 		return http.StatusBadGateway
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -93,8 +93,8 @@
 	q.outcomeUnknown = !h.Quarantine.Broke(ctx, endpoint, q.fingerprint(), q.accountName())
 }
 
-// runCancelled records that the run of the request was cancelled. The endpoint may still crash because
-// of it shortly after the client has disconnected.
+// runCancelled records that the run of the request was cancelled. The endpoint may still crash
+// because of it shortly after the client has disconnected.
 func (h *Handler) runCancelled(q *request, endpoint registry.Endpoint) {
 	q.outcomeUnknown = true
 	h.Quarantine.Left(endpoint, q.fingerprint(), q.accountName())
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,8 +1,8 @@
-// Package topology chooses which instances of a large fleet are hubs: those that place
-// requests and sum counts for the others, of which a few read the store for all.
+// Package topology chooses which instances of a large fleet are hubs. Hubs place requests and
+// aggregate counts for the other instances, and a few of them read the store for all.
 //
-// Nothing is elected: all instances that know the same members choose the same. The
-// package is pure.
+// There is no election: all instances that know the same members choose the same hubs. The package
+// is pure.
 package topology
 
 import (
@@ -14,58 +14,58 @@
 	"github.com/samber/lo"
 )
 
-// Size from which a fleet has hubs, and how many.
+// Fleet sizes and numbers of hubs.
 const (
-	// SmallFleet is the number of instances that all read the store and place requests
+	// SmallFleet is the number of instances up to which all of them read the store and place requests
 	// themselves.
 	SmallFleet = 16
-	// HubsInHall is how many hubs each hall has.
-	HubsInHall   = 2
-	readersLeast = 2 // hubs that read the store, however few halls there are, and
-	readersMost  = 3 // at the most, or one for so many instances:
-	perReader    = 100
-	// standbyRounds is how many times as many as the readers may be asked to stand in for
-	// them: the store may turn a third of a fleet away at once, and with
-	// it all readers.
-	standbyRounds = 3
+	// HubsPerHall is the number of hubs in each hall.
+	HubsInHall         = 2
+	minReaders         = 2 // minimum number of hubs that read the store, however few halls there are
+	maxReaders         = 3 // maximum number of them, except that larger fleets have one per instancesPerReader instances
+	instancesPerReader = 100
+	// standbysPerReader is the number of standbys for each reader: the store may reject a third of a
+	// fleet at once, and all readers with it.
+	standbysPerReader = 3
 )
 
 // Member is an instance of the fleet.
 type Member struct {
 	Name  string
-	Addr  netip.AddrPort // at which the others reach it
+	Addr  netip.AddrPort // that the other instances connect to
 	Hall  string
-	Cores float64 // processor time that it may use
+	Cores float64 // CPU time that it may use, in cores
 }
 
-// Topology is who reads the store and places requests for all. It is immutable. The zero
+// Topology is the division of tasks in a fleet, as seen by one instance. It is immutable. The zero
 // value is that of a small fleet.
 type Topology struct {
-	Hubs    []Member // in the order in which this node asks them; empty in a small fleet
-	Self    bool     // this node is a hub
-	Readers []Member // the hubs that read the store, in that order, of different halls
-	Reads   bool     // this node is one of these
-	// Standbys read the store while no reader can: rounds of as many as there are readers,
-	// the same for all instances, each in the order in which this node asks.
+	Hubs    []Member // in the order in which this instance asks them; empty in a small fleet
+	Self    bool     // this instance is a hub
+	Readers []Member // the hubs that read the store, in the same order, of different halls if there are enough
+	Reads   bool     // this instance is a reader
+	// Standbys read the store while no reader can. They are divided into rounds of as many as there
+	// are readers. The rounds are the same for all instances, each in the order in which this
+	// instance asks.
 	Standbys [][]Member
 }
 
-// Direct reports whether this node has to read the store itself.
+// ReadsStore reports whether this instance has to read the store itself.
 func (t *Topology) Direct() bool { return t.Reads || len(t.Hubs) == 0 }
 
-// Named returns a hub by its name, the zero member if there is none.
+// Hub returns a hub by its name, or the zero Member if there is none.
 func (t *Topology) Named(name string) Member {
 	hub, _ := lo.Find(t.Hubs, func(m Member) bool { return m.Name == name })
 	return hub
 }
 
-// Names returns the names of the hubs.
+// HubNames returns the names of the hubs.
 func (t *Topology) Names() []string {
 	return lo.Map(t.Hubs, func(m Member, _ int) string { return m.Name })
 }
 
-// New chooses the hubs of a fleet: in each hall the nodes with the most
-// processor time. All nodes that know the same members choose the same.
+// New chooses the hubs of a fleet: in each hall the instances with the most CPU time. All instances
+// that know the same members choose the same hubs.
 func New(self Member, others []Member) *Topology {
 	if len(others) < SmallFleet {
 		return &Topology{}
@@ -73,7 +73,7 @@
 	all := rank(append(slices.Clone(others), self))
 	t := &Topology{}
 	chosen := make(map[string]int) // by hall
-	var first, more []Member       // hubs that are the first of their hall, and the others
+	var first, more []Member       // the first hub of each hall, and the other hubs
 	for _, m := range all {
 		switch chosen[m.Hall]++; {
 		case chosen[m.Hall] == 1:
@@ -88,7 +88,7 @@
 	t.Standbys = standbysOf(t.Readers, slices.Concat(t.Hubs, all))
 	t.Self, t.Reads = slices.ContainsFunc(t.Hubs, isSelf), slices.ContainsFunc(t.Readers, isSelf)
 	order := func(a, b Member) int {
-		return cmp.Or(compareTrue(a.Hall == self.Hall, b.Hall == self.Hall), cmp.Compare(Pair(self.Name, a.Name), Pair(self.Name, b.Name)))
+		return cmp.Or(trueFirst(a.Hall == self.Hall, b.Hall == self.Hall), cmp.Compare(Pair(self.Name, a.Name), Pair(self.Name, b.Name)))
 	}
 	for _, list := range append([][]Member{t.Hubs, t.Readers}, t.Standbys...) {
 		slices.SortStableFunc(list, order)
@@ -96,8 +96,8 @@
 	return t
 }
 
-// rank sorts members by processor time, those with the most first; those with as much
-// by a hash, which all nodes work out alike.
+// rank sorts members by CPU time, the most first. Those with equal CPU time are sorted by a hash,
+// which is the same at all instances.
 func rank(all []Member) []Member {
 	type hashed struct {
 		Member
@@ -110,8 +110,8 @@
 	return lo.Map(ranked, func(h hashed, _ int) Member { return h.Member })
 }
 
-// standbysOf chooses who reads the store while no reader can, from instances of which
-// those to prefer come first; one may be there twice.
+// standbysOf chooses the standbys from instances ranked by preference, which may contain an
+// instance twice.
 func standbysOf(readers, ranked []Member) [][]Member {
 	taken := make(map[string]bool)
 	for _, m := range readers {
@@ -119,7 +119,7 @@
 	}
 	var standbys []Member
 	for _, m := range ranked {
-		if len(standbys) == standbyRounds*len(readers) {
+		if len(standbys) == standbysPerReader*len(readers) {
 			break
 		}
 		if !taken[m.Name] {
@@ -130,18 +130,18 @@
 	return lo.Chunk(standbys, len(readers))
 }
 
-// readersOf chooses the hubs that read the store for a number of instances: each of
-// them pays for its calls, while a question of an instance to a hub costs nothing.
+// readersOf chooses the hubs that read the store for a fleet of the given size. Each call of a
+// reader to the store costs money, while a call of an instance to a hub costs nothing.
 func readersOf(first, more []Member, instances int) []Member {
-	most := max(readersMost, (instances+perReader-1)/perReader)
-	if len(first) >= readersLeast {
+	most := max(maxReaders, (instances+instancesPerReader-1)/instancesPerReader)
+	if len(first) >= minReaders {
 		return slices.Clone(first[:min(len(first), most)])
 	}
-	return slices.Concat(first, more[:min(len(more), readersLeast-len(first))])
+	return slices.Concat(first, more[:min(len(more), minReaders-len(first))])
 }
 
-// compareTrue orders true before false.
-func compareTrue(a, b bool) int {
+// trueFirst orders true before false.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -151,6 +151,6 @@
 	return 1
 }
 
-// Pair is a hash that differs between pairs of names, so that the nodes of a
-// hall are spread over its hubs.
+// PairHash returns a hash of two names. Instances order the hubs of a hall by it, which spreads them
+// over these hubs.
 func Pair(a, b string) uint64 { return xxhash.Sum64String(a + "\x00" + b) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func fleetOf(halls, each int) []Member {
+func newFleet(halls, each int) []Member {
 	var all []Member
 	for z := range halls {
 		for i := range each {
@@ -27,8 +27,8 @@
 
 func TestAllNodesChooseTheSameHubs(t *testing.T) {
 	is := is.New(t)
-	all := fleetOf(4, 20)
-	first := make(map[string]int) // which hub is asked first
+	all := newFleet(4, 20)
+	first := make(map[string]int) // by the hub that an instance asks first
 	count := 0
 	for i, self := range all {
 		top := New(self, without(all, i))
@@ -38,7 +38,7 @@
 			names[h.Name] = true
 		}
 		for z := range 4 {
-			is.True(names[fmt.Sprintf("%d-0", z)]) // the strong one of each hall
+			is.True(names[fmt.Sprintf("%d-0", z)]) // the instance of the hall with the most CPU time
 		}
 		is.Equal(top.Self, names[self.Name])
 		is.Equal(top.Hubs[0].Hall, self.Hall)
@@ -48,15 +48,15 @@
 		}
 	}
 	is.Equal(count, 8)
-	is.Equal(len(first), 8) // the load is spread
+	is.Equal(len(first), 8) // the instances are spread over all hubs
 }
 
-// Each call of the store is paid for: a few hubs of different halls read it, whatever
-// the number of halls, and one more for each hundred instances.
+// Each call to the store costs money: a few hubs of different halls read it, whatever the number of
+// halls, and one more for each hundred instances.
 func TestFewHubsReadTheStore(t *testing.T) {
 	for _, c := range []struct{ halls, each, want int }{{1, 24, 2}, {2, 24, 2}, {6, 8, 3}, {6, 49, 3}, {20, 17, 4}} {
 		is := is.New(t)
-		all := fleetOf(c.halls, c.each)
+		all := newFleet(c.halls, c.each)
 		readers := make(map[string]int) // by hall
 		for i, self := range all {
 			top := New(self, without(all, i))
@@ -78,6 +78,6 @@
 
 func TestASmallFleetHasNoHubs(t *testing.T) {
 	is := is.New(t)
-	all := fleetOf(4, 4)
+	all := newFleet(4, 4)
 	is.True(New(all[0], all[1:]).Direct())
 }
