--- a/internal/front/admission.go
+++ b/internal/front/admission.go
@@ -13,29 +13,29 @@
 	"github.com/shelfcrank/shelfcrank/internal/usage"
 )
 
-// admission counts requests for all goroutines that serve clients. It
-// implements forward.Admission.
+// admission enforces rate limits and retry budgets and counts usage for the requests of
+// this instance. It is safe for concurrent use and implements forward.Admission.
 type admission struct {
-	instance *Instance
-	terms    retry.Terms
-	limits   quota.Terms
+	instance   *Instance
+	retryTerms retry.Terms
+	quotaTerms quota.Terms
 
-	mu        sync.Mutex
-	limitsOf  *policy.Config           // that byAccount was worked out for; guarded by mu
-	byAccount map[string]quota.Limit   // guarded by mu
-	rand      *rand.Rand               // guarded by mu
-	quota     *quota.Limiter           // guarded by mu
-	budgets   map[string]*retry.Budget // by service; guarded by mu
-	usage     *usage.Counter           // guarded by mu
-	counters  *counters                // counts of the groups of a large fleet; guarded by mu
+	mu              sync.Mutex
+	limitsConfig    *policy.Config           // from which limitsByAccount was computed; guarded by mu
+	limitsByAccount map[string]quota.Limit   // guarded by mu
+	rand            *rand.Rand               // guarded by mu
+	quota           *quota.Limiter           // guarded by mu
+	budgets         map[string]*retry.Budget // by service; guarded by mu
+	usage           *usage.Counter           // guarded by mu
+	counters        *counters                // counts by hub group, used in a fleet with hubs; guarded by mu
 }
 
 func newAdmission(n *Instance) *admission {
 	b := n.Settings.Bounds
 	return &admission{
 		instance: n, rand: rand.New(rand.NewPCG(n.Seed, seedAdmission)), quota: quota.New(n.start), budgets: make(map[string]*retry.Budget), usage: usage.New(), counters: newCounters(),
-		limits: quota.Terms{Over: b.QuotaOver, Slack: b.QuotaSlack, Window: b.QuotaWindow()},
-		terms:  retry.Terms{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow()},
+		quotaTerms: quota.Terms{Over: b.QuotaOver, Slack: b.QuotaSlack, Window: b.QuotaWindow()},
+		retryTerms: retry.Terms{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow()},
 	}
 }
 
@@ -45,61 +45,61 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if placed {
-		return a.quota.AdmitForHub(c.Name, a.limit(c), units, now)
+		return a.quota.AdmitForHub(c.Name, a.limitOf(c), units, now)
 	}
-	return a.quota.Admit(c.Name, a.limit(c), units, now)
+	return a.quota.Admit(c.Name, a.limitOf(c), units, now)
 }
 
-// alone asks whether a request that no hub confirmed may be sent all the same. Nothing
-// is asked for with 0 units.
-func (a *admission) alone(account string, units float64, now time.Time) quota.Verdict {
+// admitWithoutHub decides whether a request may be sent although no hub confirmed it. It
+// admits requests of 0 units without a check.
+func (a *admission) admitWithoutHub(account string, units float64, now time.Time) quota.Verdict {
 	if units == 0 {
 		return quota.Verdict{OK: true}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.quota.Alone(account, a.limitsNow()[account], units, now)
+	return a.quota.Alone(account, a.currentLimits()[account], units, now)
 }
 
-// confirm asks, at a hub, whether the limit of a client account bears a request that
-// another instance admitted. Nothing is asked for with 0 units.
-func (a *admission) confirm(account string, units float64, now time.Time) quota.Verdict {
+// confirmAtHub checks, on a hub, whether the limit of a client account allows a request
+// that another instance admitted. It admits requests of 0 units without a check.
+func (a *admission) confirmAtHub(account string, units float64, now time.Time) quota.Verdict {
 	hubs := len(a.instance.state.members.topology().Hubs)
 	if units == 0 || hubs == 0 {
 		return quota.Verdict{OK: true}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.quota.Confirm(account, a.limitsNow()[account], units, 1/float64(hubs), now)
+	return a.quota.Confirm(account, a.currentLimits()[account], units, 1/float64(hubs), now)
 }
 
-// limit returns what a client account is kept to.
-func (a *admission) limit(c *policy.Account) quota.Limit {
+// limitOf returns the limit enforced for a client account: the configured one, stretched by
+// the tolerance of the settings.
+func (a *admission) limitOf(c *policy.Account) quota.Limit {
 	limit := quota.Limit{Rate: c.Rate, Burst: c.Burst}
 	if c.Rate > 0 {
-		limit = a.limits.Stretch(limit)
+		limit = a.quotaTerms.Stretch(limit)
 	}
 	return limit
 }
 
-// limitsNow returns what the client accounts of the configuration in force are kept
-// to. The caller holds mu.
-func (a *admission) limitsNow() map[string]quota.Limit {
+// currentLimits returns the enforced limits by client account for the configuration in
+// force. The caller holds mu.
+func (a *admission) currentLimits() map[string]quota.Limit {
 	config := a.instance.view.Load().Config
-	if config == nil || config == a.limitsOf {
-		return a.byAccount
+	if config == nil || config == a.limitsConfig {
+		return a.limitsByAccount
 	}
-	a.limitsOf, a.byAccount = config, make(map[string]quota.Limit, len(config.Accounts))
+	a.limitsConfig, a.limitsByAccount = config, make(map[string]quota.Limit, len(config.Accounts))
 	for i := range config.Accounts {
-		a.byAccount[config.Accounts[i].Name] = a.limit(&config.Accounts[i])
+		a.limitsByAccount[config.Accounts[i].Name] = a.limitOf(&config.Accounts[i])
 	}
-	return a.byAccount
+	return a.limitsByAccount
 }
 
-// levels returns how much of their limits the client accounts have left. The
-// caller holds mu.
+// levels returns the token bucket levels of the client accounts. The caller holds mu.
 func (a *admission) levels(now time.Time) map[string]float64 {
-	return a.quota.Levels(a.limitsNow(), now)
+	return a.quota.Levels(a.currentLimits(), now)
 }
 
 // Return implements forward.Admission.
@@ -120,18 +120,18 @@
 
 // FirstTry implements forward.Admission.
 func (a *admission) FirstTry(service string, now time.Time) {
-	nodes := a.instance.view.Load().Instances
+	instances := a.instance.view.Load().Instances
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.budget(service).Sent(a.terms, nodes, now)
+	a.budget(service).Sent(a.retryTerms, instances, now)
 }
 
 // SecondTry implements forward.Admission.
 func (a *admission) SecondTry(service string, now time.Time) bool {
-	nodes := a.instance.view.Load().Instances
+	instances := a.instance.view.Load().Instances
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.budget(service).Take(a.terms, nodes, a.rand.Float64(), now)
+	return a.budget(service).Take(a.retryTerms, instances, a.rand.Float64(), now)
 }
 
 // Began implements forward.Admission.
@@ -145,46 +145,50 @@
 	a.usage.Add(w, account, count)
 }
 
-// tick lets time pass; nodes is how many run.
-func (a *admission) tick(nodes int, now time.Time) {
+// tick refills the token buckets and expires old counts; instances is the number of
+// running instances. It is called periodically.
+func (a *admission) tick(instances int, now time.Time) {
 	w := usage.WindowOf(a.instance.walltime.At(now), a.instance.Settings.Bounds.UsageWindow())
 	grouped := a.instance.grouped()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.SetInstances(nodes)
-	a.quota.Fill(a.limitsNow(), now)
-	a.quota.DropWhere(func(node string, heardAt time.Time) bool {
-		return isGroup(node) != grouped || grouped && now.Sub(heardAt) > groupGone
+	a.quota.SetInstances(instances)
+	a.quota.Fill(a.currentLimits(), now)
+	a.quota.DropWhere(func(name string, seenAt time.Time) bool {
+		return isGroup(name) != grouped || grouped && now.Sub(seenAt) > groupTimeout
 	})
 	a.quota.Tick(now)
 	a.usage.Expire(w)
 	a.counters.expire(w)
 }
 
-// groupGone is how long after its last word a group is taken to be gone: its hub
-// died or is none any more, and its instances report elsewhere. What it was assumed
-// to admit until then is given back.
-const groupGone = 3 * time.Second
+// groupTimeout is how long after its last update a group is considered gone: its hub died
+// or is no longer a hub, and its instances report to other hubs. The units that it was
+// assumed to have admitted in the meantime are returned to the buckets.
+const groupTimeout = 3 * time.Second
 
-// grouped reports whether the fleet is so large that counts are reported by groups.
+// grouped reports whether the fleet is large enough to have hubs, so that instances
+// exchange counts by hub group.
 func (n *Instance) grouped() bool { return len(n.state.members.topology().Hubs) > 0 }
 
-// resume takes note that this node stood still for long.
+// resume resets the token buckets after this instance was suspended for long: the other
+// instances may have used what accrued in the meantime.
 func (a *admission) resume(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.Resume(a.limitsNow(), now)
+	a.quota.Resume(a.currentLimits(), now)
 }
 
-func (a *admission) forget(node string) {
+// forget drops what a peer reported, both for itself and for its group.
+func (a *admission) forget(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.Forget(node)
-	a.quota.Forget(groupOf(node))
+	a.quota.Forget(name)
+	a.quota.Forget(groupOf(name))
 }
 
-// counter returns the counts of all nodes, with this hub's own group brought up to
-// now. The caller holds mu.
+// counter returns the usage counts of all instances. In a fleet with hubs these are counts
+// by group; a hub updates its own group first. The caller holds mu.
 func (a *admission) counter() *usage.Counter {
 	n := a.instance
 	if !n.grouped() {
@@ -196,27 +200,27 @@
 	return a.counters.usage
 }
 
-// sum returns the counts of a window over all nodes.
+// sum returns the usage counts of a window over all instances.
 func (a *admission) sum(window int64, accounts []string) usage.Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.counter().Sum(window, accounts)
 }
 
-// records returns the counts from a window on.
+// records returns the usage counts of the given window and all later ones.
 func (a *admission) records(from int64) []usage.Record {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.counter().Records(a.instance.Settings.Name, a.instance.incarnation(), from)
 }
 
-// recall takes counts that were kept in the store: of groups or of single nodes, as
-// the fleet was when they were kept.
-func (a *admission) recall(records []usage.Record) {
+// restore merges counts read back from the store. They are by group or by instance,
+// depending on whether the fleet had hubs when they were written.
+func (a *admission) restore(records []usage.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	name, run := a.instance.Settings.Name, a.instance.incarnation()
-	groups, nodes := lo.FilterReject(records, func(r usage.Record, _ int) bool { return isGroup(r.Instance) })
-	a.usage.Recall(nodes, name, run)
+	groups, instances := lo.FilterReject(records, func(r usage.Record, _ int) bool { return isGroup(r.Instance) })
+	a.usage.Recall(instances, name, run)
 	a.counters.usage.Recall(groups, groupOf(name), run)
 }
--- a/internal/front/deadly_test.go
+++ b/internal/front/deadly_test.go
@@ -16,66 +16,67 @@
 )
 
 const (
-	deadlyEnds  = 3 // servers that may end under one request
-	deadlyAfter = 1 // times that it may reach one after that: news takes milliseconds, at ten a second
-	crashAfter  = 30 * time.Millisecond
-	startsAfter = 1500 * time.Millisecond
+	maxEndsPerRequest = 3 // endpoints that may end under one request
+	maxRunsAfter      = 1 // times that it may reach an endpoint after that: updates take milliseconds, at ten requests a second
+	crashDelay        = 30 * time.Millisecond
+	restartDelay      = 1500 * time.Millisecond
 )
 
-// deaths is what servers that end under a request saw. A path that names a deadly request
-// holds "deadly"; requests of one path are one request.
+// endpointCrashes simulates endpoints that crash under deadly requests, and counts the runs of
+// each request. A request is deadly if its path contains "deadly"; requests with the same path
+// count as one request.
 type deaths struct {
-	mu     sync.Mutex
-	server map[int]*http.Server // by number; guarded by mu
-	down   map[string]bool      // servers that have ended; guarded by mu
-	ended  map[string]int       // servers that ended under a path; guarded by mu
-	after  map[string]int       // times that a path reached a server after deadlyEnds had ended under it; guarded by mu
-	runs   map[string]int       // at servers, by request id; guarded by mu
-	all    int                  // runs at servers; guarded by mu
-	failed map[string]bool      // requests that a server failed before it ran them; guarded by mu
-	fixed  bool                 // no request is deadly any more; guarded by mu
-	third  map[string]time.Time // when the last of deadlyEnds ended under a path; guarded by mu
-	late   map[string]int       // times that a path reached a server later than newsTime after that; guarded by mu
+	mu             sync.Mutex
+	processes      map[int]*http.Server // server process by number of the endpoint; guarded by mu
+	down           map[string]bool      // endpoints that are not running; guarded by mu
+	ended          map[string]int       // endpoints that ended, by path; guarded by mu
+	runsAfterLimit map[string]int       // runs after maxEndsPerRequest endpoints had ended, by path; guarded by mu
+	runs           map[string]int       // at endpoints, by request id; guarded by mu
+	totalRuns      int                  // runs at endpoints; guarded by mu
+	failed         map[string]bool      // whether an endpoint failed a request before running it, by request id; guarded by mu
+	fixed          bool                 // no request is deadly; guarded by mu
+	limitReachedAt map[string]time.Time // when maxEndsPerRequest was reached, by path; guarded by mu
+	lateRuns       map[string]int       // runs later than propagationBound after that, by path; guarded by mu
 
-	startsAfter time.Duration // how long a server that ended under a request is away
-	failsEach   int           // of so many deadly requests at a server one is failed before it runs; 0 for none
+	restartDelay time.Duration // downtime of an endpoint that ended under a request
+	failsEach    int           // one in so many runs, if deadly, is answered with an error before it runs; 0 for none
 }
 
 func newDeaths() *deaths {
-	return &deaths{server: make(map[int]*http.Server), down: make(map[string]bool), ended: make(map[string]int), after: make(map[string]int), runs: make(map[string]int), third: make(map[string]time.Time), late: make(map[string]int), failed: make(map[string]bool), startsAfter: startsAfter}
+	return &deaths{processes: make(map[int]*http.Server), down: make(map[string]bool), ended: make(map[string]int), runsAfterLimit: make(map[string]int), runs: make(map[string]int), limitReachedAt: make(map[string]time.Time), lateRuns: make(map[string]int), failed: make(map[string]bool), restartDelay: restartDelay}
 }
 
-// started notes the process of a server.
+// started records the server process of an endpoint.
 func (d *deaths) started(i int, s *http.Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.server[i] = s
+	d.processes[i] = s
 	delete(d.down, serverID(i))
 }
 
-// arrives notes a request at a server, and reports whether the server is to end under it.
+// arrives counts a request at an endpoint, and reports whether the endpoint crashes under it.
 func (d *deaths) arrives(id, path string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.runs[id]++
-	d.all++
-	if d.ended[path] >= deadlyEnds {
-		d.after[path]++
-		if time.Since(d.third[path]) > newsTime {
-			d.late[path]++
+	d.totalRuns++
+	if d.ended[path] >= maxEndsPerRequest {
+		d.runsAfterLimit[path]++
+		if time.Since(d.limitReachedAt[path]) > propagationBound {
+			d.lateRuns[path]++
 		}
 	}
 	deadly := strings.Contains(path, "deadly") && !d.fixed
-	d.failed[id] = deadly && d.failsEach > 0 && d.all%d.failsEach == 0
+	d.failed[id] = deadly && d.failsEach > 0 && d.totalRuns%d.failsEach == 0
 	return deadly && !d.failed[id]
 }
 
-// crash ends a server under a request. All its connections end with it. It starts again
-// after a while, unless for is negative.
-func (w *world) crash(i int, path string, again time.Duration) {
+// crash stops an endpoint and all its connections, under a request unless path is empty. The
+// endpoint restarts after the given time, unless that is negative.
+func (w *world) crash(i int, path string, restartAfter time.Duration) {
 	d := w.deaths
 	d.mu.Lock()
-	s := d.server[i]
+	s := d.processes[i]
 	if d.down[serverID(i)] {
 		d.mu.Unlock()
 		return
@@ -83,103 +84,102 @@
 	d.down[serverID(i)] = true
 	if path != "" {
 		d.ended[path]++
-		if d.ended[path] == deadlyEnds {
-			d.third[path] = time.Now()
+		if d.ended[path] == maxEndsPerRequest {
+			d.limitReachedAt[path] = time.Now()
 		}
 	}
 	d.mu.Unlock()
 	_ = s.Close()
-	if again < 0 {
+	if restartAfter < 0 {
 		return
 	}
 	w.restarts.Go(func() {
-		time.Sleep(again)
+		time.Sleep(restartAfter)
 		w.listenAs(i)
 		w.putIncarnation(i, time.Now(), false)
 	})
 }
 
-// counts returns what became of a path.
+// counts returns how many endpoints ended under a path, and how often it reached one after
+// maxEndsPerRequest had ended.
 func (d *deaths) counts(path string) (ended, after int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ended[path], d.after[path]
+	return d.ended[path], d.runsAfterLimit[path]
 }
 
-// tooLate returns how often a path reached a server later than newsTime after the last of
-// deadlyEnds had ended under it.
+// tooLate returns how often a path reached an endpoint later than propagationBound after
+// maxEndsPerRequest endpoints had ended under it.
 func (d *deaths) tooLate(path string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.late[path]
+	return d.lateRuns[path]
 }
 
-// failsFirst reports whether a server failed a deadly request instead of running it, the
-// last time that it arrived.
+// failedBeforeRun reports whether the last endpoint that a request reached answers it with an
+// error instead of running it.
 func (d *deaths) failsFirst(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.failed[id]
 }
 
-// arrived returns how many requests reached a server, and how often.
+// arrived returns how many distinct requests reached an endpoint, and the number of their runs.
 func (d *deaths) arrived() (requests, runs int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.runs), d.all
+	return len(d.runs), d.totalRuns
 }
 
-// fix makes no request deadly any more, as a new version of the servers does.
+// fix makes no request deadly from now on, as a fixed version of the endpoints would.
 func (d *deaths) fix() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fixed = true
 }
 
-// Callers saw answers break off by the dozen for as long as a few of them sent one request.
-//
-// Order of events: a request makes the endpoint that runs it end, with all that runs there;
-// the instance tries it on another one, which ends too; its caller comes back under another
-// id, to another instance. Cause: nothing knew that endpoints ended under the same request;
-// an id says nothing, and no instance sees it alone. Evidence: what was sent, method, URI and
-// body, was one and the same under 116 ids, at 125 endpoints, from all 7 instances.
+// Guards against a query of death: a request crashes the endpoint that runs it, with all other
+// requests there; it is retried on another endpoint, and its caller sends it again under a new
+// id to another instance. It can be recognized only by its content (method, URI and body) and
+// only across instances. In one case the same content came under 116 ids and ended 125
+// endpoints, from all 7 instances.
 func TestARequestThatCrashesItsServersIsStopped(t *testing.T) {
-	for _, nodes := range []int{4, large} {
+	for _, instances := range []int{4, large} {
 		for _, kind := range []string{"once", "safe"} {
-			play(t, nodes, func(is *is.I, w *world) {
+			play(t, instances, func(is *is.I, w *world) {
 				time.Sleep(4 * time.Second)
 				path := "/" + kind + "/deadly"
 				w.askDeadly(path, "d", 10*time.Second, namesOf(w)...)
 				ended, after := w.deaths.counts(path)
-				t.Logf("%s at %d instances: %d ended, %d sent after", kind, nodes, ended, after)
-				is.True(ended >= deadlyEnds) // it was deadly
-				is.True(after <= deadlyAfter)
-				is.True(ended <= deadlyEnds+deadlyAfter)
-			}, manyServers)
+				t.Logf("%s at %d instances: %d ended, %d sent after", kind, instances, ended, after)
+				is.True(ended >= maxEndsPerRequest) // otherwise the test proves nothing
+				is.True(after <= maxRunsAfter)
+				is.True(ended <= maxEndsPerRequest+maxRunsAfter)
+			}, manyEndpoints)
 		}
 	}
 }
 
-// manyServers gives a world more servers, which tell when they started.
-func manyServers(w *world) { w.servers = 12 }
+// manyEndpoints is an option that gives a world more endpoints, whose entries have a start time.
+func manyEndpoints(w *world) { w.servers = 12 }
 
-// Servers end all the time, by themselves: what runs there each time is no cause of it, and
-// requests that many callers send are served on.
+// Guards against false suspicion: endpoints crash all the time for other reasons. Popular
+// requests that happen to run on several of them must still be served.
 func TestRequestsBesideCrashesAreServed(t *testing.T) {
-	for _, nodes := range []int{4, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{4, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
-			w.work(200 * time.Millisecond) // so that each of them runs on some server that ends
+			w.work(200 * time.Millisecond) // long enough that each path is running on some endpoint that ends
 			rnd := rand.New(rand.NewPCG(1, 23))
 			var wait sync.WaitGroup
 			var mu sync.Mutex
 			refused, answered := 0, 0
 			for i := range 1000 {
 				time.Sleep(20 * time.Millisecond)
-				if i%25 == 0 { // two servers of twelve a second
-					w.crash(rnd.IntN(w.servers), "", startsAfter)
+				if i%25 == 0 { // two of twelve endpoints a second
+					w.crash(rnd.IntN(w.servers), "", restartDelay)
 				}
-				name := fmt.Sprint("n", i%nodes)
+				name := fmt.Sprint("n", i%instances)
 				path := fmt.Sprint("/safe/hot", i%3)
 				wait.Go(func() {
 					status := w.ask(name, path, "k1", fmt.Sprint(name, "/h", i))
@@ -194,14 +194,15 @@
 				})
 			}
 			wait.Wait()
-			t.Logf("%d instances: %d answered, %d refused", nodes, answered, refused)
+			t.Logf("%d instances: %d answered, %d refused", instances, answered, refused)
 			is.True(answered >= 950)
 			is.True(refused <= 10)
-		}, manyServers)
+		}, manyEndpoints)
 	}
 }
 
-// askDeadly asks for a path ten times a second for a while.
+// askDeadly requests a path ten times a second for a time, from the named instances in turn,
+// and returns the number of answers by status.
 func (w *world) askDeadly(path, tag string, d time.Duration, names ...string) (statuses map[int]int) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -220,33 +221,33 @@
 	return statuses
 }
 
-// An instance that starts learns at once which requests are quarantined, also where all that
-// saw the ends of servers restart one after the other.
+// An instance that starts learns at once which requests are quarantined, even if all instances
+// that saw the endpoints end restart one after the other.
 func TestAQuarantineIsKnownToInstancesThatStart(t *testing.T) {
-	for _, nodes := range []int{4, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{4, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			names := namesOf(w)
 			w.askDeadly("/safe/deadly", "a", 4*time.Second, names...)
 			ended, _ := w.deaths.counts("/safe/deadly")
-			is.Equal(ended, deadlyEnds)
+			is.Equal(ended, maxEndsPerRequest)
 			for _, name := range names[:4] {
 				w.restart(name)
 				time.Sleep(3 * time.Second)
 			}
 			w.askDeadly("/safe/deadly", "b", 4*time.Second, names[:4]...)
 			ended, after := w.deaths.counts("/safe/deadly")
-			is.Equal(ended, deadlyEnds)
+			is.Equal(ended, maxEndsPerRequest)
 			is.Equal(after, 0)
-		}, manyServers)
+		}, manyEndpoints)
 	}
 }
 
-// Instances are killed while servers end under a request: what the others saw counts on. An
-// instance that saw an end and told nobody takes it with it, one more for each.
+// Instances are killed while endpoints end under a request: what the others saw still counts.
+// An end that only a killed instance saw is lost, so that each killed instance allows one more.
 func TestAQuarantineOutlivesInstances(t *testing.T) {
-	for _, nodes := range []int{4, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{4, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			names := namesOf(w)
 			var wait sync.WaitGroup
@@ -259,14 +260,14 @@
 			w.askDeadly("/safe/deadly", "a", 6*time.Second, names[2:]...)
 			wait.Wait()
 			ended, after := w.deaths.counts("/safe/deadly")
-			is.True(ended <= deadlyEnds+2)
+			is.True(ended <= maxEndsPerRequest+2)
 			is.True(after <= 2)
-		}, manyServers)
+		}, manyEndpoints)
 	}
 }
 
-// Instances are cut off from each other in two halves, and both reach the servers: each half
-// counts for itself. Once they learn of each other again, nothing more is sent by either.
+// Instances are partitioned into two halves that both reach the endpoints: each half counts
+// separately. Once they are connected again, neither half sends the request any more.
 func TestAQuarantineWhileInstancesAreCutOff(t *testing.T) {
 	play(t, 4, func(is *is.I, w *world) {
 		time.Sleep(4 * time.Second)
@@ -274,22 +275,22 @@
 		w.cut(left, right, true)
 		w.askDeadly("/safe/deadly", "a", 4*time.Second, "n0", "n2", "n1", "n3")
 		ended, _ := w.deaths.counts("/safe/deadly")
-		is.True(ended > deadlyEnds)
-		is.True(ended <= 2*deadlyEnds)
-		w.askDeadly("/safe/other-deadly", "b", 2*time.Second, left...) // known to one half
+		is.True(ended > maxEndsPerRequest)
+		is.True(ended <= 2*maxEndsPerRequest)
+		w.askDeadly("/safe/other-deadly", "b", 2*time.Second, left...) // known to one half only
 		w.cut(left, right, false)
 		time.Sleep(3 * time.Second)
 		w.askDeadly("/safe/deadly", "c", 2*time.Second, "n0", "n2", "n1", "n3")
 		w.askDeadly("/safe/other-deadly", "d", 2*time.Second, right...)
-		again, _ := w.deaths.counts("/safe/deadly")
-		is.Equal(again, ended)
+		endedLater, _ := w.deaths.counts("/safe/deadly")
+		is.Equal(endedLater, ended)
 		other, after := w.deaths.counts("/safe/other-deadly")
-		is.Equal(other, deadlyEnds)
+		is.Equal(other, maxEndsPerRequest)
 		is.Equal(after, 0)
-	}, manyServers)
+	}, manyEndpoints)
 }
 
-// cut cuts instances off from others, or heals that.
+// cut partitions two sets of instances, or heals the partition.
 func (w *world) cut(left, right []string, cut bool) {
 	for _, a := range left {
 		for _, b := range right {
@@ -298,10 +299,10 @@
 	}
 }
 
-// Operators see what is quarantined at any instance, and lift it at any other.
+// Operators can list quarantined requests at any instance, and lift a quarantine at any other.
 func TestOperatorsLiftAQuarantine(t *testing.T) {
-	for _, nodes := range []int{4, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{4, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			names := namesOf(w)
 			w.askDeadly("/safe/deadly", "a", 4*time.Second, names...)
@@ -309,18 +310,18 @@
 			var all []SuspectStatus
 			is.NoErr(json.Unmarshal(w.operate(http.MethodGet, names[0], QuarantinePath), &all))
 			is.Equal(len(all), 1)
-			is.Equal(len(all[0].Ends), deadlyEnds)
+			is.Equal(len(all[0].Ends), maxEndsPerRequest)
 			is.True(all[0].Until != nil)
 			w.deaths.fix()
 			w.operate(http.MethodDelete, names[1], QuarantinePath+"/"+all[0].Fingerprint[:8])
 			time.Sleep(100 * time.Millisecond)
 			statuses := w.askDeadly("/safe/deadly", "b", 2*time.Second, names...)
 			is.Equal(statuses[http.StatusOK], 20)
-		}, manyServers)
+		}, manyEndpoints)
 	}
 }
 
-// operate makes an operator's call and returns the answer.
+// operate makes an operator's call to an instance's metrics address and returns the answer.
 func (w *world) operate(method, name, path string) []byte {
 	r, err := http.NewRequestWithContext(context.Background(), method, "http://"+w.settings(name, hostOf(name)).Metrics.String()+path, nil)
 	if err != nil {
@@ -338,36 +339,36 @@
 	return body
 }
 
-// A quarantine ends: one run decides, at one place. Where servers still end under the
-// request, it is quarantined again at once; where it comes through, all take it again.
+// After a quarantine, a single run at one place decides. If an endpoint ends under the request
+// again, it is quarantined again at once; if the run completes, all instances serve it again.
 func TestAQuarantineEnds(t *testing.T) {
-	for _, nodes := range []int{4, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{4, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			names := namesOf(w)
 			w.askDeadly("/safe/deadly", "a", 4*time.Second, names...)
 			time.Sleep(w.nodes["n0"].node.Settings.Quarantine())
 			w.askDeadly("/safe/deadly", "b", 4*time.Second, names...)
 			ended, _ := w.deaths.counts("/safe/deadly")
-			is.Equal(ended, deadlyEnds+1)
+			is.Equal(ended, maxEndsPerRequest+1)
 			w.deaths.fix()
 			time.Sleep(2 * w.nodes["n0"].node.Settings.Quarantine())
 			statuses := w.askDeadly("/safe/deadly", "c", 4*time.Second, names...)
 			is.True(statuses[http.StatusOK] >= 35) // of 40
-		}, manyServers)
+		}, manyEndpoints)
 	}
 }
 
-// A client account is at its limit while servers end under many of its requests, each of
-// which goes on elsewhere. Requests are counted at the servers, each once: they stay within the
-// limit. Second runs are the instances' own doing, and bound by the budget of second tries.
+// A client account is at its limit while endpoints end under many of its requests, which are
+// retried elsewhere. The distinct requests that reach endpoints stay within the limit. Retries
+// do not count: instances start them, and the retry budget bounds them.
 func TestALimitHoldsWhileServersEndUnderRequests(t *testing.T) {
 	const rate, burst, over, window = 40, 80, 0.1, 8
 	const instances = 4
 	play(t, instances, func(_ *is.I, w *world) {
 		time.Sleep(4 * time.Second)
 		var wait sync.WaitGroup
-		var ids []int // requests that reached a server, at the end of each second
+		var ids []int // distinct requests that reached an endpoint, at the end of each second
 		for second := range 20 {
 			for i := range 5 * rate {
 				time.Sleep(time.Second / (5 * rate))
@@ -389,22 +390,22 @@
 		}
 		wait.Wait()
 		distinct, all := w.deaths.arrived()
-		t.Logf("%d requests, %d second runs", distinct, all-distinct)
+		t.Logf("%d requests, %d retries", distinct, all-distinct)
 		if all == distinct {
-			t.Error("no request went on elsewhere")
+			t.Error("no request was retried")
 		}
-	}, limited(rate, burst, over), manyServers)
+	}, limited(rate, burst, over), manyEndpoints)
 }
 
-// survives reads a request's body, and ends the server if the request is a deadly one. It
-// reports whether the server goes on.
+// survives reads a request's body, and crashes the endpoint if the request is deadly. It
+// reports whether the endpoint is still running.
 func (w *world) survives(i int, r *http.Request) bool {
 	_, _ = io.Copy(io.Discard, r.Body)
 	path := r.URL.Path
 	if !w.deaths.arrives(r.Header.Get("Id"), path) {
 		return true
 	}
-	time.Sleep(crashAfter)
-	w.crash(i, path, w.deaths.startsAfter)
+	time.Sleep(crashDelay)
+	w.crash(i, path, w.deaths.restartDelay)
 	return false
 }
--- a/internal/front/deadlyagain_test.go
+++ b/internal/front/deadlyagain_test.go
@@ -9,77 +9,72 @@
 	"github.com/matryer/is"
 )
 
-// Callers saw one request end 60 and 70 endpoints in a day, although it does not run any more
-// once three have ended under it.
-//
-// Order of events: two endpoints end under the request; a third one is failing and answers
-// it with 500 before it runs it; the request is free again, and two more end. Cause: any whole
-// answer counted as a sign that the request came through, also a failure. Evidence: the line
-// "suspicion of a request is over" names an endpoint that failed requests, between the ends of
-// two others; with half of the deadly requests failed first, 111 endpoints ended.
+// Guards against an error answer clearing a suspect. If any complete answer counts as a sign
+// that the request came through, a failing endpoint that answers it with 500 before running it
+// releases it, and more endpoints end under it: 60 to 70 in a day, and 111 with half of the
+// deadly requests answered that way.
 func TestADeadlyRequestIsStoppedWhereServersFail(t *testing.T) {
-	for _, nodes := range []int{4, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{4, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			const path = "/safe/deadly"
 			w.askDeadly(path, "d", 20*time.Second, namesOf(w)...)
-			w.stopped(is, path)
-		}, manyServers, func(w *world) { w.deaths.failsEach = 2 })
+			w.checkStopped(is, path)
+		}, manyEndpoints, func(w *world) { w.deaths.failsEach = 2 })
 	}
 }
 
-// Callers that did not wait saw one request end endpoints for as long as they came back.
-//
-// Order of events: a caller leaves some milliseconds after its request was sent, the instance
-// cancels the run, and the endpoint ends all the same a moment later; the caller comes back.
-// Cause: a run that was cut off counted only if the endpoint had cut it off. Evidence: no line
-// "server ended under a request" for any of 125 endpoints that ended, and each request's own
-// line says that its client left.
+// Guards against missing the ends of endpoints whose client has left. A client disconnects some
+// milliseconds after its request was sent, the instance cancels the run, and the endpoint ends
+// a moment later all the same. If only runs interrupted by the endpoint count, none of these
+// ends is seen (of 125 in one case) while the client keeps coming back.
 func TestADeadlyRequestIsStoppedWhereCallersLeave(t *testing.T) {
-	for _, nodes := range []int{4, large} {
+	for _, instances := range []int{4, large} {
 		for _, stay := range []time.Duration{5 * time.Millisecond, 20 * time.Millisecond} {
-			play(t, nodes, func(is *is.I, w *world) {
+			play(t, instances, func(is *is.I, w *world) {
 				time.Sleep(4 * time.Second)
 				const path = "/safe/deadly"
-				w.askAndLeave(path, stay, 80*time.Second) // the quarantine ends meanwhile
-				w.stopped(is, path)
-			}, manyServers)
+				w.askAndLeave(path, stay, 80*time.Second) // longer than the quarantine lasts
+				w.checkStopped(is, path)
+			}, manyEndpoints)
 		}
 	}
 }
 
-// Servers that start again at once, under the same id and address, are as dead as others.
+// Guards against missing the end of an endpoint that restarts at once under the same id and
+// address.
 func TestADeadlyRequestIsStoppedWhereServersAreBackAtOnce(t *testing.T) {
-	for _, nodes := range []int{4, large} {
+	for _, instances := range []int{4, large} {
 		for _, again := range []time.Duration{0, 20 * time.Millisecond, 200 * time.Millisecond} {
-			play(t, nodes, func(is *is.I, w *world) {
+			play(t, instances, func(is *is.I, w *world) {
 				time.Sleep(4 * time.Second)
 				const path = "/safe/deadly"
 				w.askDeadly(path, "d", 20*time.Second, namesOf(w)...)
-				w.stopped(is, path)
-			}, manyServers, func(w *world) { w.deaths.startsAfter = again })
+				w.checkStopped(is, path)
+			}, manyEndpoints, func(w *world) { w.deaths.restartDelay = again })
 		}
 	}
 }
 
-// late is the number of times that a deadly request may reach servers later than newsTime
-// after the end of the third one.
+// maxLateRuns is how often a deadly request may reach endpoints later than propagationBound
+// after maxEndsPerRequest endpoints have ended under it.
 const (
-	late     = 3
-	newsTime = 3 * time.Second
+	maxLateRuns      = 3
+	propagationBound = 3 * time.Second
 )
 
-// stopped checks that a request was deadly and was stopped.
-func (w *world) stopped(is *is.I, path string) {
+// checkStopped checks that a request was deadly and that its runs were stopped.
+func (w *world) checkStopped(is *is.I, path string) {
 	is.Helper()
 	ended, after := w.deaths.counts(path)
 	tooLate := w.deaths.tooLate(path)
 	w.t.Logf("%d instances: %d ended, %d sent after, %d of them late", len(w.nodes), ended, after, tooLate)
-	is.True(ended >= deadlyEnds) // it was deadly
-	is.True(tooLate <= late)
+	is.True(ended >= maxEndsPerRequest) // otherwise the test proves nothing
+	is.True(tooLate <= maxLateRuns)
 }
 
-// askAndLeave asks for a path ten times a second for a while, by callers that leave early.
+// askAndLeave requests a path ten times a second for a time d, from clients that disconnect
+// after the time stay.
 func (w *world) askAndLeave(path string, stay, d time.Duration) {
 	names := namesOf(w)
 	var wait sync.WaitGroup
@@ -91,8 +86,8 @@
 	}
 }
 
-// An instance that is seen before its registration is known here is told of all suspects
-// once it is.
+// An instance that is seen before its registration is known is sent all suspects once the
+// registration is known.
 func TestSuspectsArePendingForAnInstanceUntilItIsListed(t *testing.T) {
 	play(t, 4, func(is *is.I, w *world) {
 		time.Sleep(4 * time.Second)
@@ -108,5 +103,5 @@
 		s.met("n1", started)
 		is.True(!s.needsSync("n1", started, now.Add(2*syncInterval)))
 		time.Sleep(time.Second)
-	}, manyServers)
+	}, manyEndpoints)
 }
--- a/internal/front/duties.go
+++ b/internal/front/duties.go
@@ -15,49 +15,53 @@
 
 // Times of usage reports.
 const (
-	usageSettles = 700 * time.Millisecond // after the end of a window and an exchange, until all counts are here
-	usageLook    = 300 * time.Millisecond
-	orderTimeout = time.Second
-	leastForCall = 150 * time.Millisecond // with less time left as holder no call is made
+	usageSettleDelay  = 700 * time.Millisecond // beyond the end of a window and the propagation time, until all counts have arrived
+	usagePollInterval = 300 * time.Millisecond
+	leaderCallTimeout = time.Second
+	minLeaseForCall   = 150 * time.Millisecond // with less time left in the leader lease no call is started
 )
 
-// usageBehind is how many windows a new holder catches up with: those whose
+// usageCatchUpWindows returns how many past windows a new leader reports: those whose
 // reports are not late yet.
 func (n *Instance) usageBehind() int64 {
 	b := n.Settings.Bounds
 	return int64(b.UsageLate()/b.UsageWindow()) + 1
 }
 
-// errSilent ends a call that this node may not make any more, or that takes too long.
-var errSilent = errors.New("the time to act for all is over")
+// errLeaseEnding is the cause for cancelling a call that takes too long or would outlast the
+// leader lease.
+var errLeaseEnding = errors.New("call timed out, or leader lease is ending")
 
-// acting returns a context that ends before this node has to be silent.
-func (n *Instance) acting(ctx context.Context) (context.Context, context.CancelFunc, duty.Token, bool) {
+// leaderContext returns a context for a call that only the leader may make, with the fencing
+// token. The context ends after leaderCallTimeout, and before the lease does. It returns
+// false if this instance is not the leader or its lease is about to end.
+func (n *Instance) leaderContext(ctx context.Context) (context.Context, context.CancelFunc, duty.Token, bool) {
 	token, until, ok := n.elector.Token(n.Clock.Now())
-	if !ok || n.Clock.Until(until) < leastForCall {
+	if !ok || n.Clock.Until(until) < minLeaseForCall {
 		return nil, nil, token, false
 	}
-	end := n.Clock.Now().Add(orderTimeout)
+	end := n.Clock.Now().Add(leaderCallTimeout)
 	if until.Before(end) {
 		end = until
 	}
-	call, deadline := n.Clock.WithDeadline(ctx, end, errSilent)
+	call, deadline := n.Clock.WithDeadline(ctx, end, errLeaseEnding)
 	return call, deadline.Stop, token, true
 }
 
+// usageKey returns the store key of the settled counts of a window.
 func (n *Instance) usageKey(window int64) string {
 	return n.Decoder.OwnPrefix() + keyUsage + strconv.FormatInt(window, 10)
 }
 
-// openEvery is how often the counts of open windows are kept in the store.
-const openEvery = time.Second
+// openUsageInterval is how often the counts of open windows are saved to the store.
+const openUsageInterval = time.Second
 
-// keepOpenUsage keeps, while this node acts for all, the counts of the windows
-// that are not reported yet in the store: all nodes may die at once.
+// saveOpenUsage saves the counts of the windows that are not reported yet to the store,
+// while this instance is the leader, so that they survive if all instances die at once.
 func (n *Instance) keepOpenUsage(ctx context.Context) error {
 	var last []byte
-	for n.Clock.Sleep(ctx, openEvery) {
-		call, cancel, token, ok := n.acting(ctx)
+	for n.Clock.Sleep(ctx, openUsageInterval) {
+		call, cancel, token, ok := n.leaderContext(ctx)
 		if !ok {
 			continue
 		}
@@ -77,9 +81,10 @@
 	return ctx.Err()
 }
 
-// recallUsage takes what an earlier holder kept, and says whether it knows.
-func (n *Instance) recallUsage(ctx context.Context) bool {
-	call, cancel := context.WithTimeout(ctx, orderTimeout)
+// restoreOpenUsage merges the counts that an earlier leader saved. It returns false if the
+// store could not be read.
+func (n *Instance) restoreOpenUsage(ctx context.Context) bool {
+	call, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 	defer cancel()
 	item, _, err := n.Store.Get(call, n.Decoder.OwnPrefix()+keyOpen)
 	if errors.Is(err, store.ErrNotFound) {
@@ -90,8 +95,8 @@
 	}
 	var records []usage.Record
 	if err := json.Unmarshal(item.Value, &records); err != nil {
-		return true // nothing to be had from it
+		return true // unreadable: go on without it
 	}
-	n.admission.recall(records)
+	n.admission.restore(records)
 	return true
 }
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -11,22 +11,15 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
-// A client account that sent many times its limit got 4% more than a window allows.
-//
-// What happened: the store turned two of seven instances away for longer than their
-// registrations last, while the others still received their updates. Meanwhile four others
-// were stopped as planned and started again. They learned who runs from the store alone,
-// so that they did not know the two, or dropped them: of a pair the one that is named
-// first asks the other, and those that did not know the last one never asked it. Neither
-// side took off what the other admitted. When the two were registered again, what they
-// had admitted until then was taken for old.
-//
-// Evidence: the events of the four that started have "node gone" for the two, or no "node
-// joined", until the store let these in again. Days with the same traffic were within the
-// limit without the restarts (four of four), and went beyond it with them (two of seven).
+// Guards against a client account exceeding its limit (by 4% of a window) because instances
+// do not know each other. The store refuses some instances for longer than their registration
+// lasts, while others restart. If the restarted ones learn the members from the store alone,
+// they never exchange counts with the refused ones: of a pair only the one with the lower
+// name asks. What either side admitted is then not deducted by the other, and is treated as
+// old once the store accepts the registrations again.
 func TestALimitHoldsWhileInstancesRestartAndTheStoreTurnsOthersAway(t *testing.T) {
 	const rate, burst, over, window = 40, 80, 0.1, 8
-	const instances, backAt = 5, 4 // second in which the store serves all again
+	const instances, backAt = 5, 4 // second from which the store serves all instances again
 	lost, restarted := []string{"n3", "n4"}, []string{"n0", "n1", "n2"}
 	play(t, instances, func(_ *is.I, w *world) {
 		time.Sleep(4 * time.Second)
@@ -59,15 +52,15 @@
 	}, limited(rate, burst, over), lenient)
 }
 
-// The same in a large fleet, where the hubs tell who runs: a hub and a spoke that start
-// while the store turns another hub and another spoke away know both of them.
+// The same in a large fleet, where hubs report the members: a hub and a follower that start
+// while the store refuses another hub and another follower know both of them.
 func TestStartingInstancesOfALargeFleetKnowThoseThatTheStoreLost(t *testing.T) {
 	play(t, large, func(_ *is.I, w *world) {
 		time.Sleep(4 * time.Second)
-		hubs, spokes := hubsOf(w)
-		w.fault(storetest.Faults{Busy: true}, hubs[0], spokes[0])
+		hubs, followers := hubsOf(w)
+		w.fault(storetest.Faults{Busy: true}, hubs[0], followers[0])
 		time.Sleep(registerTTL + 5*time.Second)
-		restarted := []string{hubs[1], spokes[1]}
+		restarted := []string{hubs[1], followers[1]}
 		for _, name := range restarted {
 			w.restart(name)
 		}
@@ -80,9 +73,9 @@
 	}, lenient)
 }
 
-// A store that is away for a moment takes no registration: nobody is told who runs, as
-// that would be each instance to all others of a large fleet. Only one whose registration
-// may have ended tells of itself.
+// Guards against needless traffic: an outage of the store that is shorter than the lifetime
+// of registrations must not make instances advertise members to each other, which in a large
+// fleet would be all to all. They do so only once registrations may have expired.
 func TestAShortOutageDoesNotAdvertiseInstances(t *testing.T) {
 	play(t, 3, func(is *is.I, w *world) {
 		time.Sleep(4 * time.Second)
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -12,7 +12,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// newLimits returns the rate limits of endpoints, which this instance shares with its peers.
+// newLimits returns the table of rate limits that endpoints announce. Instances share it
+// with their peers.
 func newLimits(n *Instance) *ratelimit.Table {
 	return ratelimit.New(ratelimit.Options{
 		Self:      n.Settings.Name,
@@ -22,14 +23,17 @@
 	})
 }
 
+// rateLimitChanged logs a change of an endpoint's rate limit.
 func (n *Instance) rateLimitChanged(endpoint string, c ratelimit.Change) {
 	n.event(event.ServerRateLimit, zap.String("server", endpoint), zap.Float64("from", c.From.Rate), zap.Float64("to", c.To.Rate),
 		zap.Bool("limited", c.To.Kind == ratelimit.Named), zap.Bool("by_peer", !c.Own))
 }
 
-// closed returns the ids of those endpoints that this instance may not send to now, by what
-// they announced in their answers, and when the first of them takes requests again, zero if none does.
-func (n *Instance) closed(endpoints []registry.Endpoint, now time.Time) (ids []string, opensAt time.Time) {
+// unavailable returns the ids of those endpoints to which this instance may not send now:
+// endpoints that announced in their answers that they leave, that asked for a pause, or
+// whose rate limit is used up. opensAt is when the first of them accepts requests again; it
+// is zero if none does.
+func (n *Instance) unavailable(endpoints []registry.Endpoint, now time.Time) (ids []string, opensAt time.Time) {
 	ids, opensAt = n.notices.Closed(endpoints, now)
 	exhausted := n.limits.Exhausted(now)
 	if len(exhausted) == 0 {
@@ -48,9 +52,8 @@
 	return ids, opensAt
 }
 
-// open returns those endpoints that this instance may send to now, by what they announced in
-// their answers.
-func (n *Instance) open(endpoints []registry.Endpoint, now time.Time) []registry.Endpoint {
+// available returns those endpoints to which this instance may send now; see unavailable.
+func (n *Instance) available(endpoints []registry.Endpoint, now time.Time) []registry.Endpoint {
 	endpoints = n.notices.Open(endpoints, now)
 	exhausted := n.limits.Exhausted(now)
 	if len(exhausted) == 0 {
@@ -59,13 +62,13 @@
 	return lo.Filter(endpoints, func(e registry.Endpoint, _ int) bool { return !exhausted[e.ID] })
 }
 
-// allows reports whether this instance may send to an endpoint now, by what it announced in
-// its answers.
-func (n *Instance) allows(endpoint *registry.Endpoint, now time.Time) bool {
+// isAvailable reports whether this instance may send to an endpoint now; see unavailable.
+func (n *Instance) isAvailable(endpoint *registry.Endpoint, now time.Time) bool {
 	return n.notices.Allows(endpoint, now) == nil && n.limits.Allows(endpoint.ID, now)
 }
 
-// groupLimits returns what endpoints named to this hub and to the instances that report to it.
+// groupLimits returns the newest rate limits that endpoints announced to this hub or to the
+// instances that report to it.
 func (n *Instance) groupLimits(reports map[string]reported, now time.Time) []ratelimit.Report {
 	all := n.limits.Reports(now)
 	for _, r := range reports {
@@ -74,7 +77,7 @@
 	return ratelimit.Newest(all)
 }
 
-// aged returns reports as they are some time after they were made.
+// aged returns copies of reports with their age increased by the given time.
 func aged(reports []ratelimit.Report, by time.Duration) []ratelimit.Report {
 	return lo.Map(reports, func(r ratelimit.Report, _ int) ratelimit.Report {
 		r.Age += by
--- a/internal/front/notes.go
+++ b/internal/front/notes.go
@@ -10,64 +10,68 @@
 	"github.com/shelfcrank/shelfcrank/internal/place"
 )
 
-// Times and sizes of notes to hubs.
+// Times of notes to hubs. A note reports progress of a request that a hub placed.
 const (
-	noteGather  = 8 * time.Millisecond // notes to a hub travel together
-	noteTimeout = 600 * time.Millisecond
+	noteBatchDelay = 8 * time.Millisecond // notes to one hub are sent in one call
+	noteTimeout    = 600 * time.Millisecond
 )
 
-// serveNotes takes notes.
+// serveNotes applies notes that an instance sends to this hub.
 func (p *placer) serveNotes(notes []*peerpb.Note, answer func(*peerpb.Answer) error) error {
 	for _, note := range notes {
-		p.take(note)
+		p.applyNote(note)
 	}
 	return answer(&peerpb.Answer{Body: &peerpb.Answer_Done{Done: &peerpb.Done{}}})
 }
 
-func (p *placer) take(note *peerpb.Note) {
-	p.desk.Note(place.Note{Ticket: note.Ticket, Read: note.Read, Done: note.Done, Result: balance.Result(note.Result)}, p.instance.Clock.Now())
+// applyNote applies a note to a request that this hub placed.
+func (p *placer) applyNote(note *peerpb.Note) {
+	p.scheduler.Note(place.Note{Ticket: note.Ticket, Read: note.Read, Done: note.Done, Result: balance.Result(note.Result)}, p.instance.Clock.Now())
 }
 
-// noter reports to a hub how a request goes on. It implements balance.Observer.
-type noter struct {
+// noteObserver reports the progress of a request to the hub that placed it. It implements
+// balance.Observer.
+type noteObserver struct {
 	placer *placer
-	offer  offered
+	offer  hubOffer
 }
 
 // Read implements balance.Observer.
-func (n *noter) Read() { n.placer.note(n.offer, &peerpb.Note{Read: true}) }
+func (n *noteObserver) Read() { n.placer.note(n.offer, &peerpb.Note{Read: true}) }
 
 // Done implements balance.Observer.
-func (n *noter) Done(result balance.Result) {
+func (n *noteObserver) Done(result balance.Result) {
 	n.placer.note(n.offer, &peerpb.Note{Done: true, Result: int32(result)})
 }
 
-// note reports to a hub on a request that it placed. It does not block.
-func (p *placer) note(o offered, note *peerpb.Note) {
+// note queues a note for the hub that made an offer, without blocking. A note for this
+// instance is applied at once.
+func (p *placer) note(o hubOffer, note *peerpb.Note) {
 	note.Ticket = o.Ticket
 	if o.hub.Name == p.instance.Settings.Name {
-		p.take(note)
+		p.applyNote(note)
 		return
 	}
 	p.mu.Lock()
-	if queue := p.notes[o.hub.Name]; len(queue) < mostNotes {
+	if queue := p.notes[o.hub.Name]; len(queue) < maxQueuedNotes {
 		p.notes[o.hub.Name] = append(queue, note)
 	}
 	p.mu.Unlock()
 	select {
-	case p.kick <- struct{}{}:
+	case p.notesQueued <- struct{}{}:
 	default:
 	}
 }
 
-// mostNotes bounds what waits for one hub. What is dropped ends at its deadline.
-const mostNotes = 4096
+// maxQueuedNotes bounds the notes queued for one hub. If a note is dropped, the hub ends the
+// request at its deadline.
+const maxQueuedNotes = 4096
 
-// sendNotes sends notes to the hubs.
+// sendNotes sends queued notes to the hubs until ctx ends.
 func (p *placer) sendNotes(ctx context.Context) error {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	for kicked(ctx, p.kick) && p.instance.Clock.Sleep(ctx, noteGather) {
+	for kicked(ctx, p.notesQueued) && p.instance.Clock.Sleep(ctx, noteBatchDelay) {
 		p.mu.Lock()
 		all := p.notes
 		p.notes = make(map[string][]*peerpb.Note, len(all))
@@ -76,12 +80,12 @@
 		for name, notes := range all {
 			hub := hubs.Named(name)
 			if !hub.Addr.IsValid() {
-				continue // no hub any more
+				continue // no longer a hub
 			}
 			wait.Go(func() {
 				call, cancel := context.WithTimeout(ctx, noteTimeout)
 				defer cancel()
-				// A lost note is made good by the deadline of its request.
+				// If the note is lost, the hub ends the request at its deadline.
 				_, _ = p.instance.peers.Call(call, hub.Addr, &peerpb.Call{Body: &peerpb.Call_Notes{Notes: &peerpb.Notes{Notes: notes}}})
 			})
 		}
--- a/internal/front/offers.go
+++ b/internal/front/offers.go
@@ -20,30 +20,30 @@
 	"github.com/shelfcrank/shelfcrank/internal/topology"
 )
 
-// Times of asking hubs for offers.
+// Parameters of requests to hubs for offers.
 const (
-	offersAsked  = 2                      // hubs that are asked for an offer
-	offerTimeout = 70 * time.Millisecond  // a hub that takes longer is done without
-	lateOffer    = time.Second            // an offer that comes later ends at the hub with the client's deadline
-	hubRests     = 800 * time.Millisecond // a hub that did not answer is not asked
+	hubsPerRequest   = 2                      // hubs asked in parallel
+	offerTimeout     = 70 * time.Millisecond  // a request does not wait longer for a hub
+	offerCallTimeout = time.Second            // later offers are not declined: they end on the hub with the client's deadline
+	hubBackoff       = 800 * time.Millisecond // for which a hub that did not answer is not asked
 )
 
-// offers asks the hubs that a request belongs to, all at once. The first of them is
-// where its shared parts have their home, and confirms that the limit of the client
-// account bears the request.
-func (p *placer) offers(ctx context.Context, hubs *topology.Topology, r *balance.Request, until time.Time) ([]offered, *forward.LimitError) {
-	owners := rendezvous.Order(r.Subject(), p.awake(hubs, p.instance.Clock.Now()))
-	asked := lo.Map(owners[:min(offersAsked, len(owners))], func(name string, _ int) topology.Member { return hubs.Named(name) })
-	replies := p.askHubs(ctx, asked, r, until)
-	got := collect(ctx, replies, len(asked))
+// offers asks the hubs that rendezvous hashing assigns to a request, in parallel. The first
+// of them owns the shared parts of the prompt and also confirms that the limit of the
+// client account allows the request.
+func (p *placer) offers(ctx context.Context, hubs *topology.Topology, r *balance.Request, until time.Time) ([]hubOffer, *forward.LimitError) {
+	owners := rendezvous.Order(r.Subject(), p.availableHubs(hubs, p.instance.Clock.Now()))
+	asked := lo.Map(owners[:min(hubsPerRequest, len(owners))], func(name string, _ int) topology.Member { return hubs.Named(name) })
+	replies := p.requestOffers(ctx, asked, r, until)
+	got := collectReplies(ctx, replies, len(asked))
 	if missing := len(asked) - len(got); missing > 0 {
-		go p.declineLate(replies, missing)
-		if ctx.Err() == nil { // else the client left, and the hubs may be well
-			p.restSilent(asked, got)
+		go p.declineLateOffers(replies, missing)
+		if ctx.Err() == nil { // otherwise the client left, which says nothing about the hubs
+			p.backOffSilent(asked, got)
 		}
 	}
-	var offers []offered
-	var refusal *forward.LimitError // of the first hub
+	var offers []hubOffer
+	var refusal *forward.LimitError // by the first hub
 	for _, reply := range got {
 		switch {
 		case reply.err == nil:
@@ -55,15 +55,16 @@
 	return offers, refusal
 }
 
-// reply is what a hub answered.
+// reply is a hub's answer to a request for an offer.
 type reply struct {
 	hub   topology.Member
-	offer offered
+	offer hubOffer
 	err   error
 }
 
-// collect returns the replies that come in time, and while the client waits.
-func collect(ctx context.Context, replies <-chan reply, count int) []reply {
+// collectReplies returns the replies received within offerTimeout, or until the client
+// leaves.
+func collectReplies(ctx context.Context, replies <-chan reply, count int) []reply {
 	late := time.NewTimer(offerTimeout)
 	defer late.Stop()
 	var got []reply
@@ -80,18 +81,18 @@
 	return got
 }
 
-// restSilent does without the hubs that did not reply for a while.
-func (p *placer) restSilent(asked []topology.Member, got []reply) {
+// backOffSilent stops asking the hubs that did not reply for hubBackoff.
+func (p *placer) backOffSilent(asked []topology.Member, got []reply) {
 	for _, hub := range asked {
 		if !slices.ContainsFunc(got, func(r reply) bool { return r.hub.Name == hub.Name }) {
-			p.rest(hub)
+			p.backOff(hub)
 		}
 	}
 }
 
-// askHubs asks hubs for an offer. It returns where their replies come, one of each.
-func (p *placer) askHubs(ctx context.Context, hubs []topology.Member, r *balance.Request, until time.Time) <-chan reply {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateOffer)
+// requestOffers asks hubs for an offer. The returned channel delivers one reply from each.
+func (p *placer) requestOffers(ctx context.Context, hubs []topology.Member, r *balance.Request, until time.Time) <-chan reply {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), offerCallTimeout)
 	replies := make(chan reply, len(hubs))
 	var wait sync.WaitGroup
 	for i, hub := range hubs {
@@ -100,7 +101,7 @@
 			q.Away, q.Units = true, 0
 		}
 		wait.Go(func() {
-			o, err := p.ask(ctx, hub, &q, until)
+			o, err := p.requestOffer(ctx, hub, &q, until)
 			replies <- reply{hub, o, err}
 		})
 	}
@@ -111,10 +112,10 @@
 	return replies
 }
 
-// declineLate declines the offers that come when nobody waits for them any more. A hub
-// would else count the request at its server until the client's deadline: 15 s of a long
-// prompt that nobody reads, and the more of them the slower the hub answers.
-func (p *placer) declineLate(replies <-chan reply, count int) {
+// declineLateOffers declines offers that arrive after offerTimeout. Otherwise the hub would
+// count the request on its endpoint until the client's deadline (15 s of a long prompt that
+// never runs), and the slower a hub answers, the more of these would accumulate.
+func (p *placer) declineLateOffers(replies <-chan reply, count int) {
 	for range count {
 		if reply := <-replies; reply.err == nil {
 			p.decline(reply.offer)
@@ -122,30 +123,33 @@
 	}
 }
 
-// awake returns the names of the hubs that are not resting.
-func (p *placer) awake(hubs *topology.Topology, now time.Time) []string {
+// availableHubs returns the names of the hubs that are not in backoff.
+func (p *placer) availableHubs(hubs *topology.Topology, now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return lo.FilterMap(hubs.Hubs, func(h topology.Member, _ int) (string, bool) { return h.Name, !now.Before(p.rests[h.Name]) })
+	return lo.FilterMap(hubs.Hubs, func(h topology.Member, _ int) (string, bool) { return h.Name, !now.Before(p.backoffUntil[h.Name]) })
 }
 
-func (p *placer) rest(hub topology.Member) {
+// backOff excludes a hub from requests for offers for hubBackoff.
+func (p *placer) backOff(hub topology.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rests[hub.Name] = p.instance.Clock.Now().Add(hubRests)
+	p.backoffUntil[hub.Name] = p.instance.Clock.Now().Add(hubBackoff)
 }
 
-func (p *placer) ask(ctx context.Context, hub topology.Member, r *balance.Request, until time.Time) (offered, error) {
+// requestOffer asks one hub for an offer; if that is this instance, it asks its own
+// scheduler.
+func (p *placer) requestOffer(ctx context.Context, hub topology.Member, r *balance.Request, until time.Time) (hubOffer, error) {
 	now := p.instance.Clock.Now()
 	if hub.Name == p.instance.Settings.Name {
-		if v := p.instance.admission.confirm(r.Account, r.Units, now); !v.OK {
-			return offered{}, &forward.LimitError{Verdict: v}
+		if v := p.instance.admission.confirmAtHub(r.Account, r.Units, now); !v.OK {
+			return hubOffer{}, &forward.LimitError{Verdict: v}
 		}
-		o, ok := p.desk.Offer(p.self(), p.candidates(r), r, until, now)
+		o, ok := p.scheduler.Offer(p.self(), p.candidates(r), r, until, now)
 		if !ok {
-			return offered{}, errNoEndpoint
+			return hubOffer{}, errNoEndpoint
 		}
-		return offered{Offer: o, hub: hub}, nil
+		return hubOffer{Offer: o, hub: hub}, nil
 	}
 	q := &peerpb.Place{
 		Service: r.Service, Id: r.ID, Tokens: int64(r.Tokens), Avoid: r.Avoid, Slots: int64(r.Slots), Once: r.Once, Away: r.Away,
@@ -157,16 +161,16 @@
 	}
 	a, err := p.instance.peers.Call(ctx, hub.Addr, &peerpb.Call{Body: &peerpb.Call_Place{Place: q}})
 	if err != nil {
-		return offered{}, fmt.Errorf("ask hub %s for an offer: %w", hub.Name, err)
+		return hubOffer{}, fmt.Errorf("ask hub %s for an offer: %w", hub.Name, err)
 	}
 	o := a.GetPlace()
 	if x := o.GetRefusal(); x != nil {
-		return offered{}, &forward.LimitError{Verdict: quota.Verdict{Level: x.Level, Need: x.Need, Known: x.Known, RetryAt: now.Add(time.Duration(x.Wait))}}
+		return hubOffer{}, &forward.LimitError{Verdict: quota.Verdict{Level: x.Level, Need: x.Need, Known: x.Known, RetryAt: now.Add(time.Duration(x.Wait))}}
 	}
 	if o.GetServer() == "" {
-		return offered{}, errNoEndpoint
+		return hubOffer{}, errNoEndpoint
 	}
-	return offered{Offer: place.Offer{Endpoint: o.Server, Cost: o.Cost, Uncached: int(o.Uncached), Ticket: o.Ticket}, hub: hub}, nil
+	return hubOffer{Offer: place.Offer{Endpoint: o.Server, Cost: o.Cost, Uncached: int(o.Uncached), Ticket: o.Ticket}, hub: hub}, nil
 }
 
-var errNoEndpoint = fault.New(fault.StepPeer, "", fault.KindLimit, fault.NotRun, "the hub has no server to offer")
+var errNoEndpoint = fault.New(fault.StepPeer, "", fault.KindLimit, fault.NotRun, "the hub has no endpoint to offer")
--- a/internal/front/orders.go
+++ b/internal/front/orders.go
@@ -15,88 +15,92 @@
 	"github.com/shelfcrank/shelfcrank/internal/policy"
 )
 
-// Times of orders.
+// Parameters of ordering capacity from the platform.
 const (
-	planEvery    = 400 * time.Millisecond
-	orderAgain   = 3 * time.Second // beside the time to boot, until an order that shows no effect is sent again
-	listedBy     = 6 * time.Second // after its start a node knows which servers there are
-	trafficFloor = 0.02            // servers' worth of work from which there is traffic
+	planInterval = 400 * time.Millisecond
+	reorderDelay = 3 * time.Second // beyond the boot time; then an order without effect is sent again
+	listingDelay = 6 * time.Second // after its start an instance has listed the endpoints that exist
+	minTraffic   = 0.02            // load, in endpoints, from which a service counts as having traffic
 )
 
-// ordered is the last order for a hall.
-type ordered struct {
-	count int
-	at    time.Time
-	most  int // servers that were there at once since then
+// lastOrder is the last order sent for an orderKey.
+type lastOrder struct {
+	count       int
+	sentAt      time.Time
+	mostPresent int // highest number of endpoints present since then
 }
 
-// again reports whether the order has to be sent once more: servers that were
-// there are lost, or it shows no effect although there was time to boot.
-func (l ordered) again(there int, boot time.Duration, now time.Time) bool {
-	if there >= l.count {
+// mustRepeat reports whether the order has to be sent again: endpoints were lost since, or
+// the order had no effect within the boot time plus reorderDelay.
+func (l lastOrder) mustRepeat(present int, boot time.Duration, now time.Time) bool {
+	if present >= l.count {
 		return false
 	}
-	return there < l.most || now.Sub(l.at) > boot+orderAgain
+	return present < l.mostPresent || now.Sub(l.sentAt) > boot+reorderDelay
 }
 
-// orderKey names what an order is about.
+// orderKey identifies the capacity that an order sets: endpoints of a service in a hall,
+// either reclaimable (spot) or regular.
 type orderKey struct {
 	service, hall string
 	spot          bool
 }
 
-// orders carries plans out while this node acts for all.
-type orders struct {
-	instance *Instance
-	planners map[string]*fleet.Planner // by service
-	last     map[orderKey]ordered
-	holder   duty.Token
+// scaler orders capacity according to the fleet plans while this instance is the leader.
+type scaler struct {
+	instance  *Instance
+	planners  map[string]*fleet.Planner // by service
+	last      map[orderKey]lastOrder    // sent in this term
+	lastToken duty.Token                // of the term that planners and last belong to
 }
 
-// orderEndpoints orders and gives back servers.
+// scaleEndpoints runs the scaler, which orders endpoints and gives them back, until ctx
+// ends.
 func (n *Instance) orderEndpoints(ctx context.Context) error {
-	o := &orders{instance: n}
-	for n.Clock.Sleep(ctx, planEvery) {
+	o := &scaler{instance: n}
+	for n.Clock.Sleep(ctx, planInterval) {
 		token, _, ok := n.elector.Token(n.Clock.Now())
 		if !ok || n.Settings.Cloud.Port() == 0 {
 			continue
 		}
-		if token != o.holder {
-			// What was ordered before is not known: all is ordered again.
-			o.holder, o.planners, o.last = token, make(map[string]*fleet.Planner), make(map[orderKey]ordered)
+		if token != o.lastToken {
+			// Orders of the previous leader are unknown: start over and order everything again.
+			o.lastToken, o.planners, o.last = token, make(map[string]*fleet.Planner), make(map[orderKey]lastOrder)
 		}
-		o.round(ctx)
+		o.planAll(ctx)
 	}
 	return ctx.Err()
 }
 
-func (o *orders) round(ctx context.Context) {
+// planAll plans for each service with scaling. A service without endpoints is skipped until
+// listingDelay after the start: they may not have been listed yet.
+func (o *scaler) planAll(ctx context.Context) {
 	view := o.instance.view.Load()
 	if view.Config == nil {
 		return
 	}
 	for i := range view.Config.Services {
 		s := &view.Config.Services[i]
-		if s.Scaling == nil || len(view.Endpoints[s.Name]) == 0 && o.instance.Clock.Since(o.instance.start) < listedBy {
+		if s.Scaling == nil || len(view.Endpoints[s.Name]) == 0 && o.instance.Clock.Since(o.instance.start) < listingDelay {
 			continue
 		}
-		o.service(ctx, s)
+		o.planService(ctx, s)
 	}
 }
 
-// service plans for one service and sends what differs from the last orders.
-func (o *orders) service(ctx context.Context, s *policy.Service) {
+// planService plans for one service and sends the orders that differ from the last ones.
+func (o *scaler) planService(ctx context.Context, s *policy.Service) {
 	p := o.planners[s.Name]
 	if p == nil {
 		p = fleet.New()
 		o.planners[s.Name] = p
 	}
 	now := o.instance.Clock.Now()
-	in := o.input(s, now)
+	in := o.planInput(s, now)
 	wants := p.Plan(in, now)
-	// More is ordered before less is.
+	// Increases are ordered before decreases.
 	for _, more := range []bool{true, false} {
-		if !more && o.rollsOut(s.Name) {
+		if !more && o.rolloutActive(s.Name) {
 			return
 		}
 		for _, w := range wants {
@@ -106,74 +110,76 @@
 	}
 }
 
-// rollsOut reports whether a roll-out of a service is under way. Nothing is given back
-// then: endpoints of two versions stand side by side, and which of them would go is not
-// for this node to say.
-func (o *orders) rollsOut(service string) bool {
+// rolloutActive reports whether a roll-out of a service is in progress. No endpoints are
+// given back then: two versions run side by side, and this instance cannot choose which
+// endpoints the platform removes.
+func (o *scaler) rolloutActive(service string) bool {
 	r, ordered := o.instance.view.Load().Rollouts[service]
 	return ordered && !r.Phase.Final()
 }
 
-func (o *orders) input(s *policy.Service, now time.Time) fleet.Input {
+// planInput collects the demand, prices and endpoint counts from which a plan is made.
+func (o *scaler) planInput(s *policy.Service, now time.Time) fleet.Input {
 	x := s.Scaling
 	in := fleet.Input{Min: x.Min, Max: x.Max, SpotPrice: x.SpotPrice}
 	demand := o.instance.tracker.FleetDemand(s.Name, now)
 	in.Busy, in.Held = demand.Busy, demand.Held
-	in.Known = in.Busy > trafficFloor
+	in.Known = in.Busy > minTraffic
 	halls := make(map[string]*fleet.Hall)
 	for name, price := range x.HallPrices {
 		halls[name] = &fleet.Hall{Name: name, Price: price}
 	}
-	for _, server := range o.instance.view.Load().Endpoints[s.Name] {
-		h := halls[server.Hall]
+	for _, endpoint := range o.instance.view.Load().Endpoints[s.Name] {
+		h := halls[endpoint.Hall]
 		if h == nil {
-			h = &fleet.Hall{Name: server.Hall, Price: 1}
-			halls[server.Hall] = h
+			h = &fleet.Hall{Name: endpoint.Hall, Price: 1}
+			halls[endpoint.Hall] = h
 		}
-		if server.Spot {
+		if endpoint.Spot {
 			h.Spot++
 		} else {
 			h.Regular++
 		}
 	}
 	for _, h := range halls {
-		h.SpotComing = o.coming(s, orderKey{s.Name, h.Name, true}, h.Spot, now)
-		h.RegularComing = o.coming(s, orderKey{s.Name, h.Name, false}, h.Regular, now)
+		h.SpotComing = o.pendingCount(s, orderKey{s.Name, h.Name, true}, h.Spot, now)
+		h.RegularComing = o.pendingCount(s, orderKey{s.Name, h.Name, false}, h.Regular, now)
 		in.Halls = append(in.Halls, *h)
 	}
 	slices.SortFunc(in.Halls, func(a, b fleet.Hall) int { return strings.Compare(a.Name, b.Name) })
 	return in
 }
 
-// coming returns how many of the servers last ordered are still to come.
-func (o *orders) coming(s *policy.Service, k orderKey, there int, now time.Time) int {
-	last, told := o.last[k]
-	if !told || now.Sub(last.at) > s.Scaling.Boot+orderAgain {
+// pendingCount returns how many of the endpoints last ordered have not appeared yet. An order
+// older than the boot time plus reorderDelay is no longer counted.
+func (o *scaler) pendingCount(s *policy.Service, k orderKey, present int, now time.Time) int {
+	last, exists := o.last[k]
+	if !exists || now.Sub(last.sentAt) > s.Scaling.Boot+reorderDelay {
 		return 0
 	}
-	return max(0, last.count-there)
+	return max(0, last.count-present)
 }
 
-// order sends one order if it changes something, or if the last one seems to
-// have come to nothing.
-func (o *orders) order(ctx context.Context, s *policy.Service, p *fleet.Planner, in fleet.Input, k orderKey, count int, more bool) {
+// order sends one order if the count changed or the last order must be repeated. more
+// selects increases and repeats; otherwise only decreases are sent.
+func (o *scaler) order(ctx context.Context, s *policy.Service, p *fleet.Planner, in fleet.Input, k orderKey, count int, more bool) {
 	now := o.instance.Clock.Now()
-	there := there(in, k)
-	last, told := o.last[k]
-	if told {
-		last.most = max(last.most, there)
+	present := presentCount(in, k)
+	last, exists := o.last[k]
+	if exists {
+		last.mostPresent = max(last.mostPresent, present)
 		o.last[k] = last
 	} else {
-		last.count = there
+		last.count = present
 	}
-	again := told && count == last.count && last.again(there, s.Scaling.Boot, now)
+	again := exists && count == last.count && last.mustRepeat(present, s.Scaling.Boot, now)
 	if count == last.count && !again || (count > last.count || again) != more {
 		return
 	}
-	if k.spot && count > there && !p.MayAsk(k.hall, now) {
+	if k.spot && count > present && !p.MayAsk(k.hall, now) {
 		return
 	}
-	call, cancel, token, ok := o.instance.acting(ctx)
+	call, cancel, token, ok := o.instance.leaderContext(ctx)
 	if !ok {
 		return
 	}
@@ -181,7 +187,7 @@
 	err := o.instance.Cloud.Order(call, token, k.service, k.hall, count, k.spot)
 	fields := []zap.Field{
 		zap.String("service", k.service), zap.String("hall", k.hall), zap.Bool("spot", k.spot), zap.Int("count", count),
-		zap.Int("there", there), zap.Float64("busy", in.Busy), zap.Float64("held", in.Held), zap.Int64("fence", int64(token.Fence)),
+		zap.Int("there", present), zap.Float64("busy", in.Busy), zap.Float64("held", in.Held), zap.Int64("fence", int64(token.Fence)),
 	}
 	if err != nil {
 		if errors.Is(err, duty.ErrSoldOut) {
@@ -191,14 +197,15 @@
 		o.instance.event(event.FleetRefused, append(fields, zap.Error(err))...)
 		return
 	}
-	o.last[k] = ordered{count: count, at: now, most: there}
-	if k.spot && count > there {
+	o.last[k] = lastOrder{count: count, sentAt: now, mostPresent: present}
+	if k.spot && count > present {
 		p.Accepted(k.hall)
 	}
 	o.instance.event(event.FleetOrdered, fields...)
 }
 
-func there(in fleet.Input, k orderKey) int {
+// presentCount returns how many endpoints of the kind that the key names are present.
+func presentCount(in fleet.Input, k orderKey) int {
 	for _, h := range in.Halls {
 		if h.Name == k.hall && k.spot {
 			return h.Spot
--- a/internal/front/orders_test.go
+++ b/internal/front/orders_test.go
@@ -7,17 +7,17 @@
 	"github.com/matryer/is"
 )
 
-// A hall whose servers are lost is asked again at once, not only when the last
-// order had time to show: it may have none to give, and then the others have to
-// be ordered.
+// The loss of endpoints repeats the order for a hall at once, without waiting until the last
+// order had time to take effect: the hall may have none left, and other halls have to replace
+// them.
 func TestLostServersAreOrderedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	const boot = 4 * time.Second
 	now := time.Unix(1000, 0)
-	l := ordered{count: 9, at: now, most: 6}
-	is.True(!l.again(6, boot, now.Add(time.Second))) // three start
-	is.True(l.again(0, boot, now.Add(time.Second)))  // all that were there are lost
-	is.True(l.again(6, boot, now.Add(boot+orderAgain+time.Second)))
-	l.most = 9
-	is.True(!l.again(9, boot, now.Add(time.Minute)))
+	l := lastOrder{count: 9, sentAt: now, mostPresent: 6}
+	is.True(!l.mustRepeat(6, boot, now.Add(time.Second))) // three are starting
+	is.True(l.mustRepeat(0, boot, now.Add(time.Second)))  // all that were present are lost
+	is.True(l.mustRepeat(6, boot, now.Add(boot+reorderDelay+time.Second)))
+	l.mostPresent = 9
+	is.True(!l.mustRepeat(9, boot, now.Add(time.Minute)))
 }
--- a/internal/front/placing.go
+++ b/internal/front/placing.go
@@ -17,40 +17,41 @@
 	"github.com/shelfcrank/shelfcrank/internal/topology"
 )
 
-// placer chooses servers: by itself in a small fleet and for plain services,
-// else by the offers of hubs. It implements forward.Placer.
+// placer chooses the endpoint for a request. For the model engines of a fleet with hubs it
+// asks the hubs for offers; in small fleets and for other services it decides locally. It
+// implements forward.Placer.
 type placer struct {
-	instance *Instance
-	desk     *place.Desk // what this node placed as a hub
+	instance  *Instance
+	scheduler *place.Desk // requests that this instance placed as a hub
 
-	mu    sync.Mutex
-	rests map[string]time.Time      // hubs that did not answer, until when; guarded by mu
-	notes map[string][]*peerpb.Note // to be sent, by hub; guarded by mu
-	kick  chan struct{}             // notes are there; has room for one
+	mu           sync.Mutex
+	backoffUntil map[string]time.Time      // when hubs that did not answer are asked again; guarded by mu
+	notes        map[string][]*peerpb.Note // to be sent, by name of the hub; guarded by mu
+	notesQueued  chan struct{}             // signals sendNotes; capacity 1
 
-	owned ownedEndpoints
+	owned ownershipCache
 }
 
 func newPlacer(n *Instance) *placer {
 	return &placer{
-		instance: n, desk: place.New(n.start), rests: make(map[string]time.Time),
-		notes: make(map[string][]*peerpb.Note), kick: make(chan struct{}, 1),
+		instance: n, scheduler: place.New(n.start), backoffUntil: make(map[string]time.Time),
+		notes: make(map[string][]*peerpb.Note), notesQueued: make(chan struct{}, 1),
 	}
 }
 
-// offered is an offer and the hub that made it.
-type offered struct {
+// hubOffer is an offer and the hub that made it.
+type hubOffer struct {
 	place.Offer
 	hub      topology.Member
-	endpoint registry.Endpoint // as this node knows it; set where the offer is taken
+	endpoint registry.Endpoint // as this instance knows it; set by bestOffer
 }
 
-// Place implements forward.Placer. A request that a version on trial may get goes there
-// if it can.
-func (p *placer) Place(ctx context.Context, servers []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
+// Place implements forward.Placer. It prefers an endpoint of a version on trial if the
+// roll-out allows this request there.
+func (p *placer) Place(ctx context.Context, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
 	ticket, err := p.placeOnTrial(ctx, r, until, now)
 	if ticket == nil && err == nil {
-		ticket, err = p.place(ctx, servers, r, until, now)
+		ticket, err = p.place(ctx, endpoints, r, until, now)
 	}
 	if err != nil {
 		return nil, err
@@ -59,8 +60,9 @@
 	return ticket, nil
 }
 
-// placeOnTrial places a request at an endpoint of the version on trial. It returns
-// neither a ticket nor an error if the request does not go there.
+// placeOnTrial places a request on an endpoint of the version on trial. It returns neither
+// a ticket nor an error if the request is not eligible for the trial or no endpoint of it
+// is available.
 func (p *placer) placeOnTrial(ctx context.Context, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
 	trial := p.instance.view.Load().Trial[r.Service]
 	if len(trial) == 0 || !p.instance.rollouts.Try(r, now) {
@@ -75,25 +77,26 @@
 	return ticket, err
 }
 
-// mostClosed bounds the servers that a hub is asked not to offer, a dozen bytes each. Of
-// those beyond, an offer is declined.
-const mostClosed = 64
+// maxAvoid bounds the unavailable endpoints listed in a request for an offer, at a dozen
+// bytes each. Offers of the ones left out are declined.
+const maxAvoid = 64
 
-// place chooses one of the servers that take requests from this node, by what they said in
-// their answers.
-func (p *placer) place(ctx context.Context, servers []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
-	closed, opensAt := p.instance.closed(servers, now)
-	if len(closed) == len(servers) && !opensAt.IsZero() {
+// place chooses one of the endpoints to which this instance may send now. Endpoints are
+// unavailable while they announce that they leave, ask for a pause, or are at their rate
+// limit.
+func (p *placer) place(ctx context.Context, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
+	excluded, opensAt := p.instance.unavailable(endpoints, now)
+	if len(excluded) == len(endpoints) && !opensAt.IsZero() {
 		return nil, &forward.ClosedError{Until: opensAt}
 	}
-	if len(closed) > 0 {
+	if len(excluded) > 0 {
 		q := *r
-		q.Avoid = slices.Concat(r.Avoid, closed[:min(len(closed), mostClosed)])
+		q.Avoid = slices.Concat(r.Avoid, excluded[:min(len(excluded), maxAvoid)])
 		r = &q
 	}
 	hubs := p.instance.state.members.topology()
 	if !r.Engine || len(hubs.Hubs) == 0 {
-		return p.pick(servers, r, now)
+		return p.pick(endpoints, r, now)
 	}
 	offers, refusal := p.offers(ctx, hubs, r, until)
 	if refusal != nil {
@@ -102,34 +105,34 @@
 		}
 		return nil, refusal
 	}
-	best, ok := p.bestOffer(offers, servers, now)
+	best, ok := p.bestOffer(offers, endpoints, now)
 	if !ok {
-		if v := p.instance.admission.alone(r.Account, r.Units, now); !v.OK {
+		if v := p.instance.admission.admitWithoutHub(r.Account, r.Units, now); !v.OK {
 			return nil, &forward.LimitError{Verdict: v}
 		}
-		return p.pick(servers, r, now)
+		return p.pick(endpoints, r, now)
 	}
 	ticket := p.instance.tracker.Take(best.endpoint, r, best.Uncached, now)
-	ticket.Observe(&noter{p, best})
+	ticket.Observe(&noteObserver{p, best})
 	return ticket, nil
 }
 
-// pick chooses a server by what this node knows itself.
-func (p *placer) pick(servers []registry.Endpoint, r *balance.Request, now time.Time) (*balance.Ticket, error) {
-	ticket, ok := p.instance.tracker.Pick(p.instance.open(servers, now), r, now)
+// pick chooses an endpoint locally, without asking a hub.
+func (p *placer) pick(endpoints []registry.Endpoint, r *balance.Request, now time.Time) (*balance.Ticket, error) {
+	ticket, ok := p.instance.tracker.Pick(p.instance.available(endpoints, now), r, now)
 	if !ok {
 		return nil, forward.ErrNoEndpoint
 	}
 	return ticket, nil
 }
 
-// bestOffer takes the best offer of a server that this node knows to take work, and
+// bestOffer returns the cheapest offer whose endpoint is known and available here, and
 // declines the others.
-func (p *placer) bestOffer(offers []offered, servers []registry.Endpoint, now time.Time) (best offered, found bool) {
+func (p *placer) bestOffer(offers []hubOffer, endpoints []registry.Endpoint, now time.Time) (best hubOffer, found bool) {
 	for _, o := range offers {
 		var known bool
-		o.endpoint, known = lo.Find(servers, func(s registry.Endpoint) bool { return s.ID == o.Endpoint })
-		if !known || !p.instance.allows(&o.endpoint, now) || found && o.Cost >= best.Cost {
+		o.endpoint, known = lo.Find(endpoints, func(s registry.Endpoint) bool { return s.ID == o.Endpoint })
+		if !known || !p.instance.isAvailable(&o.endpoint, now) || found && o.Cost >= best.Cost {
 			p.decline(o)
 			continue
 		}
@@ -141,30 +144,31 @@
 	return best, found
 }
 
-// decline frees the place that an offer holds.
-func (p *placer) decline(o offered) {
+// decline releases the slot that the hub reserved for an offer.
+func (p *placer) decline(o hubOffer) {
 	p.note(o, &peerpb.Note{Done: true, Result: int32(balance.Cancelled)})
 }
 
+// self identifies this instance and its incarnation to the scheduler of a hub.
 func (p *placer) self() place.Asker {
 	return place.Asker{Instance: p.instance.Settings.Name, Incarnation: p.instance.incarnation()}
 }
 
-// mine returns the servers of a service that this node places requests on.
-func (p *placer) mine(service string) []registry.Endpoint {
+// ownEndpoints returns the endpoints of a service that this hub is responsible for.
+func (p *placer) ownEndpoints(service string) []registry.Endpoint {
 	return p.owned.get(p.instance.view.Load(), p.instance.state.members.topology(), p.instance.Settings.Name, service)
 }
 
-// candidates returns the servers that this node may offer for a request. Those of a
-// trial are few, and belong to all hubs.
+// candidates returns the endpoints that this hub may offer for a request. The endpoints of
+// a version on trial are few, so that every hub may offer all of them.
 func (p *placer) candidates(r *balance.Request) []registry.Endpoint {
 	if r.Trial {
 		return p.instance.view.Load().Trial[r.Service]
 	}
-	return p.mine(r.Service)
+	return p.ownEndpoints(r.Service)
 }
 
-// serve answers a node that asks for an offer.
+// servePlace answers an instance that asks this hub for an offer.
 func (p *placer) serve(call *peerpb.Call, answer func(*peerpb.Answer) error) error {
 	q, now := call.GetPlace(), p.instance.Clock.Now()
 	r := &balance.Request{
@@ -173,47 +177,49 @@
 			return balance.Part{ID: part.Id, Tokens: int(part.Tokens)}
 		}),
 	}
-	if v := p.instance.admission.confirm(q.Account, q.Units, now); !v.OK {
+	if v := p.instance.admission.confirmAtHub(q.Account, q.Units, now); !v.OK {
 		x := &peerpb.Refusal{Level: v.Level, Need: v.Need, Known: v.Known, Wait: int64(v.RetryAt.Sub(now))}
 		return answer(&peerpb.Answer{Body: &peerpb.Answer_Place{Place: &peerpb.PlaceAnswer{Refusal: x}}})
 	}
 	asker := place.Asker{Instance: call.From, Incarnation: q.Incarnation}
-	o, _ := p.desk.Offer(asker, p.candidates(r), r, now.Add(time.Duration(q.Left)), now)
+	o, _ := p.scheduler.Offer(asker, p.candidates(r), r, now.Add(time.Duration(q.Left)), now)
 	return answer(&peerpb.Answer{Body: &peerpb.Answer_Place{Place: &peerpb.PlaceAnswer{Server: o.Endpoint, Cost: o.Cost, Ticket: o.Ticket, Uncached: int64(o.Uncached)}}})
 }
 
-// tidy ends what must be over.
-func (p *placer) tidy(wanted func(server string) bool, now time.Time) {
-	p.instance.tracker.FromDesk(p.desk.Estimates())
-	p.desk.Adopt(p.instance.tracker.Agreed())
+// expire syncs estimates between the tracker and the scheduler, and ends placed requests
+// whose deadline has passed or whose instance or endpoint is gone.
+func (p *placer) tidy(wanted func(endpoint string) bool, now time.Time) {
+	p.instance.tracker.FromDesk(p.scheduler.Estimates())
+	p.scheduler.Adopt(p.instance.tracker.Agreed())
 	members := map[string]bool{p.instance.Settings.Name: true}
 	for _, m := range p.instance.state.members.list() {
 		members[m.Name] = true
 	}
-	p.desk.Expire(func(node string) bool { return members[node] }, wanted, now)
+	p.scheduler.Expire(func(name string) bool { return members[name] }, wanted, now)
 }
 
 var _ forward.Placer = (*placer)(nil)
 
-// ownedEndpoints remembers which servers belong to this node while neither the
-// servers nor the hubs change.
-type ownedEndpoints struct {
-	mu   sync.Mutex
-	view *forward.View
-	hubs *topology.Topology
-	by   map[string][]registry.Endpoint // by service
+// ownershipCache caches which endpoints this hub is responsible for. It is cleared when the
+// view or the topology changes.
+type ownershipCache struct {
+	mu        sync.Mutex
+	view      *forward.View
+	hubs      *topology.Topology
+	byService map[string][]registry.Endpoint // by name of the service
 }
 
-func (o *ownedEndpoints) get(view *forward.View, hubs *topology.Topology, self, service string) []registry.Endpoint {
+// get returns the endpoints of a service that are assigned to the hub self.
+func (o *ownershipCache) get(view *forward.View, hubs *topology.Topology, self, service string) []registry.Endpoint {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.view != view || o.hubs != hubs {
-		o.view, o.hubs, o.by = view, hubs, make(map[string][]registry.Endpoint)
+		o.view, o.hubs, o.byService = view, hubs, make(map[string][]registry.Endpoint)
 	}
-	servers, known := o.by[service]
+	endpoints, known := o.byService[service]
 	if !known {
-		servers = place.Owned(self, hubs.Names(), view.Endpoints[service])
-		o.by[service] = servers
+		endpoints = place.Owned(self, hubs.Names(), view.Endpoints[service])
+		o.byService[service] = endpoints
 	}
-	return servers
+	return endpoints
 }
--- a/internal/front/placing_test.go
+++ b/internal/front/placing_test.go
@@ -15,8 +15,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/topology"
 )
 
-// engines makes the world's service one of model servers.
-func (w *world) engines(version int64) {
+// configureEngines configures the world's service as one of model engines.
+func (w *world) configureEngines(version int64) {
 	c := policy.Config{
 		Version: version, Accounts: []policy.Account{{Name: "north", Keys: []string{"k1"}, Rate: w.rate, Burst: w.burst}},
 		Routes: []policy.Route{{
@@ -32,8 +32,7 @@
 	w.store.Put("op/config", value)
 }
 
-// askAll sends a request to each node at the same moment and returns how many
-// were answered.
+// askAll sends one request to each instance at the same time and returns how many succeeded.
 func (w *world) askAll(what string) int {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -51,61 +50,62 @@
 	return answered
 }
 
-func (w *world) placed() (open int) {
+// placedRequests returns how many requests the hubs count as placed and not done.
+func (w *world) placedRequests() (open int) {
 	for _, r := range w.nodes {
-		open += r.node.placer.desk.Open()
+		open += r.node.placer.scheduler.Open()
 	}
 	return open
 }
 
-// Hubs place the requests of all nodes, and learn of the end of each.
+// Hubs place the requests of all instances, and are notified when each ends.
 func TestHubsPlaceRequests(t *testing.T) {
 	play(t, large, func(is *is.I, w *world) {
-		w.engines(5)
+		w.configureEngines(5)
 		w.work(time.Second)
 		time.Sleep(4 * time.Second)
 		done := make(chan int)
 		go func() { done <- w.askAll("a") }()
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(w.placed(), large)
+		is.Equal(w.placedRequests(), large)
 		is.Equal(<-done, large)
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(w.placed(), 0)
+		is.Equal(w.placedRequests(), 0)
 	})
 }
 
-// A caller that leaves while hubs are asked says nothing of the hubs.
+// A client that disconnects while hubs are being asked must not put these hubs into backoff.
 func TestACallerThatLeavesRestsNoHub(t *testing.T) {
 	play(t, large, func(is *is.I, w *world) {
 		time.Sleep(4 * time.Second)
-		_, spokes := hubsOf(w)
-		p := w.nodes[spokes[0]].node.placer
+		_, followers := hubsOf(w)
+		p := w.nodes[followers[0]].node.placer
 		hubs := p.instance.state.members.topology()
 		ctx, leave := context.WithTimeout(context.Background(), time.Millisecond)
 		defer leave()
 		_, refusal := p.offers(ctx, hubs, &balance.Request{Service: "svc", ID: "1", Engine: true}, time.Now().Add(time.Second))
 		is.True(refusal == nil)
-		is.Equal(len(p.awake(hubs, time.Now())), len(hubs.Hubs))
+		is.Equal(len(p.availableHubs(hubs, time.Now())), len(hubs.Hubs))
 	})
 }
 
-// An offer that comes too late to be taken does not count at its hub any more.
+// An offer that arrives too late to be used is declined, so that the hub stops counting it.
 func TestLateOffersAreDeclined(t *testing.T) {
 	play(t, large, func(is *is.I, w *world) {
-		w.engines(5)
+		w.configureEngines(5)
 		time.Sleep(4 * time.Second)
 		hubs, _ := hubsOf(w)
 		w.slowDown(hubs...)
-		is.Equal(w.askAll("a"), large) // the instances choose by themselves
+		is.Equal(w.askAll("a"), large) // the instances choose endpoints locally
 		time.Sleep(4 * slowDelay)
-		is.Equal(w.placed(), 0)
+		is.Equal(w.placedRequests(), 0)
 	})
 }
 
-// When hubs die, the others choose by themselves until there are new ones.
+// When hubs die, the other instances choose endpoints locally until there are new hubs.
 func TestRequestsAreServedWhileHubsDie(t *testing.T) {
 	play(t, large, func(is *is.I, w *world) {
-		w.engines(5)
+		w.configureEngines(5)
 		time.Sleep(4 * time.Second)
 		hubs, _ := hubsOf(w)
 		w.kill(hubs...)
@@ -115,21 +115,21 @@
 		}
 		after, _ := hubsOf(w)
 		is.Equal(len(after), topology.HubsInHall)
-		is.Equal(w.placed(), 0)
+		is.Equal(w.placedRequests(), 0)
 	})
 }
 
-// All instances of a large fleet are asked at the same moment by one account. Each
-// could admit its one request; the hubs see that the account's limit does not bear
-// them all.
+// One client account sends a request to each instance of a large fleet at the same time. Each
+// instance alone could admit its one request; the hubs see that together they exceed the
+// limit.
 func TestHubsSeeWhatSingleInstancesCannot(t *testing.T) {
-	const nodes, burst = 120, 40
-	play(t, nodes, func(is *is.I, w *world) {
-		w.engines(5)
+	const instances, burst = 120, 40
+	play(t, instances, func(is *is.I, w *world) {
+		w.configureEngines(5)
 		time.Sleep(12 * time.Second)
 		answered := w.askAll("a")
-		t.Logf("%d of %d answered", answered, nodes)
+		t.Logf("%d of %d answered", answered, instances)
 		is.True(answered >= burst*3/4)
-		is.True(answered <= 2*burst) // hubs estimate what the others see
+		is.True(answered <= 2*burst) // hubs estimate what the other hubs see
 	}, limited(10, burst, 0))
 }
--- a/internal/front/ratelimit_test.go
+++ b/internal/front/ratelimit_test.go
@@ -15,11 +15,11 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
-// rateLimits are what servers name in their answers. The id of a request begins with the
-// instance that it is sent to.
+// rateLimits holds the rate limits that endpoints announce in their answers, and checks that
+// they are kept. The id of a request begins with the name of the instance that it is sent to.
 type rateLimits struct {
 	mu      sync.Mutex
-	named   map[string]string // header by server; guarded by mu
+	named   map[string]string // header value by endpoint; guarded by mu
 	checker *check.RateLimits // guarded by mu
 }
 
@@ -27,39 +27,40 @@
 	return &rateLimits{named: make(map[string]string), checker: check.NewRateLimits(3 * time.Second)}
 }
 
-// name makes a server name a limit from now on.
-func (l *rateLimits) name(server string, rate float64) {
+// name makes an endpoint announce a limit from now on.
+func (l *rateLimits) name(endpoint string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named[server] = strconv.FormatFloat(rate, 'f', -1, 64)
-	l.checker.Named(server, rate, time.Now())
+	l.named[endpoint] = strconv.FormatFloat(rate, 'f', -1, 64)
+	l.checker.Named(endpoint, rate, time.Now())
 }
 
-// lift makes a server name no limit any more.
-func (l *rateLimits) lift(server string) {
+// lift makes an endpoint stop announcing a limit.
+func (l *rateLimits) lift(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.named, server)
-	l.checker.Lifted(server, time.Now())
+	delete(l.named, endpoint)
+	l.checker.Lifted(endpoint, time.Now())
 }
 
-func (l *rateLimits) arrives(server, id string, now time.Time) {
+// arrives records that a request reached an endpoint.
+func (l *rateLimits) arrives(endpoint, id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.checker.Arrived(server, pairOf(server, id).instance, now)
+	l.checker.Arrived(endpoint, pairOf(endpoint, id).instance, now)
 }
 
-// answers names the limit in an answer.
-func (l *rateLimits) answers(server, id string, h http.Header, now time.Time) {
+// answers adds the limit to the headers of an answer.
+func (l *rateLimits) answers(endpoint, id string, h http.Header, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if text, limited := l.named[server]; limited {
+	if text, limited := l.named[endpoint]; limited {
 		h.Set("Limit", text)
-		l.checker.Passed(server, pairOf(server, id).instance, now)
+		l.checker.Passed(endpoint, pairOf(endpoint, id).instance, now)
 	}
 }
 
-// excuse records that instances are restarted, frozen or cut off until some time after now.
+// excuse records that instances are restarted, suspended or partitioned for the given time.
 func (l *rateLimits) excuse(d time.Duration, instances ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +69,7 @@
 	}
 }
 
-// checkRateLimits reports servers that got more than they allow.
+// checkRateLimits reports endpoints that got more requests than their limits allow.
 func (w *world) checkRateLimits() {
 	w.t.Helper()
 	w.limits.mu.Lock()
@@ -79,14 +80,14 @@
 }
 
 func TestServersGetNoMoreThanTheRateLimitThatTheyName(t *testing.T) {
-	for _, nodes := range []int{3, 9, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{3, 9, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			w.limits.name(serverID(0), 1)
 			w.limits.name(serverID(1), 1.7)
 			answered := w.askAround("a", 14*time.Second)
 			w.checkRateLimits()
-			is.True(answered >= 690) // of 700: the third takes what is left
+			is.True(answered >= 690) // of 700: the third endpoint takes the rest
 			w.limits.lift(serverID(0))
 			time.Sleep(3 * time.Second)
 			lifted := time.Now()
@@ -106,13 +107,13 @@
 		w.askAround("a", time.Second)
 		answered := w.askAround("b", 10*time.Second)
 		w.checkRateLimits()
-		is.True(answered >= 60 && answered <= 150) // of 120 that the limits bear
+		is.True(answered >= 60 && answered <= 150) // the limits allow 120
 	})
 }
 
 func TestALimitThatOneInstanceLearnsBindsAll(t *testing.T) {
-	for _, nodes := range []int{3, large} {
-		play(t, nodes, func(is *is.I, w *world) {
+	for _, instances := range []int{3, large} {
+		play(t, instances, func(is *is.I, w *world) {
 			time.Sleep(8 * time.Second)
 			w.limits.name(serverID(0), 1)
 			for i := range 20 {
@@ -121,49 +122,49 @@
 			time.Sleep(1200 * time.Millisecond)
 			for name, r := range w.nodes {
 				if !r.node.limits.Any() {
-					t.Errorf("%s of %d does not know the limit", name, nodes)
+					t.Errorf("%s of %d does not know the limit", name, instances)
 				}
 			}
 		})
 	}
 }
 
-// Limits rise, fall and are lifted while the store goes away, instances are killed and servers
-// ask for rest. No server gets more than it allows.
+// Limits rise, fall and are lifted while the store fails, instances are killed and endpoints
+// ask for pauses. No endpoint gets more requests than its limit allows.
 func TestRandomRateLimits(t *testing.T) {
 	for seed := range seeds() {
-		for _, nodes := range []int{4, large} {
-			play(t, nodes, func(_ *is.I, w *world) {
+		for _, instances := range []int{4, large} {
+			play(t, instances, func(_ *is.I, w *world) {
 				time.Sleep(4 * time.Second)
-				w.randomRateLimits(rand.New(rand.NewPCG(uint64(seed), 23)), nodes)
+				w.randomRateLimits(rand.New(rand.NewPCG(uint64(seed), 23)), instances)
 				w.checkRateLimits()
 			}, lenient)
 			if t.Failed() {
-				t.Fatalf("seed %d, %d instances", seed, nodes)
+				t.Fatalf("seed %d, %d instances", seed, instances)
 			}
 		}
 	}
 }
 
-// randomRateLimits plays 40 s of limits and faults.
-func (w *world) randomRateLimits(rnd *rand.Rand, nodes int) {
+// randomRateLimits runs 40 s of random limits and faults.
+func (w *world) randomRateLimits(rnd *rand.Rand, instances int) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for i := range 2000 {
 		time.Sleep(20 * time.Millisecond)
-		name := fmt.Sprint("n", rnd.IntN(nodes))
+		name := fmt.Sprint("n", rnd.IntN(instances))
 		path := []string{"/once/a", "/safe/a"}[rnd.IntN(2)]
 		wait.Go(func() { w.ask(name, path, "k1", fmt.Sprint(name, "/r", i)) })
-		server := serverID(rnd.IntN(testServers))
+		endpoint := serverID(rnd.IntN(testServers))
 		switch x := rnd.Float64(); {
 		case x < 0.01:
-			w.limits.name(server, []float64{0, 0.3, 1, 1.7, 5}[rnd.IntN(5)])
+			w.limits.name(endpoint, []float64{0, 0.3, 1, 1.7, 5}[rnd.IntN(5)])
 		case x < 0.012:
-			w.limits.lift(server)
+			w.limits.lift(endpoint)
 		case x < 0.02:
-			w.statements.asksRest(server, time.Duration(rnd.ExpFloat64()*float64(time.Second)))
+			w.statements.asksRest(endpoint, time.Duration(rnd.ExpFloat64()*float64(time.Second)))
 		case x < 0.05:
-			w.statements.asksRest(server, 0)
+			w.statements.asksRest(endpoint, 0)
 		case x < 0.06:
 			w.fault(storetest.Faults{Down: true}, name)
 		case x < 0.08:
--- a/internal/front/rolloutmsg.go
+++ b/internal/front/rolloutmsg.go
@@ -12,12 +12,12 @@
 	"github.com/shelfcrank/shelfcrank/internal/tally"
 )
 
-// Messages on roll-outs, encoded and decoded.
+// This file encodes and decodes the roll-out parts of peer messages.
 
-// rolloutShares encodes what is shared of roll-outs, nil if there are none.
-func (n *Instance) rolloutShares(counts rollout.Counts, states []rollctl.State) *peerpb.Rollouts {
+// encodeRollouts encodes counts, states and the known permits; nil if there are none.
+func (n *Instance) encodeRollouts(counts rollout.Counts, states []rollctl.State) *peerpb.Rollouts {
 	out := &peerpb.Rollouts{
-		Counts: countShares(counts),
+		Counts: encodeRolloutCounts(counts),
 		States: lo.Map(states, func(s rollctl.State, _ int) *peerpb.RolloutState {
 			return &peerpb.RolloutState{Service: s.Service, Order: int64(s.Order), Phase: string(s.Phase), Open: s.Open, Instances: s.Instances}
 		}),
@@ -31,13 +31,13 @@
 	return out
 }
 
-// ownRollouts is what this instance shares of itself.
+// ownRollouts encodes this instance's own counts and states.
 func (n *Instance) ownRollouts(counts rollout.Counts) *peerpb.Rollouts {
-	return n.rolloutShares(counts, n.rollouts.States(n.openRequests()))
+	return n.encodeRollouts(counts, n.rollouts.States(n.openRequests()))
 }
 
-// countShares writes counts, those of one key in one message.
-func countShares(counts rollout.Counts) []*peerpb.RolloutCount {
+// encodeRolloutCounts encodes counts, with one message for all kinds of counts of a key.
+func encodeRolloutCounts(counts rollout.Counts) []*peerpb.RolloutCount {
 	cells := make(map[rollout.Key]*peerpb.RolloutCount)
 	for key, v := range counts {
 		cell := key
@@ -63,7 +63,7 @@
 	return lo.Values(cells)
 }
 
-// rolloutCounts reads what countShares wrote.
+// decodeRolloutCounts is the inverse of encodeRolloutCounts.
 func rolloutCounts(shares []*peerpb.RolloutCount) rollout.Counts {
 	out := make(rollout.Counts)
 	for _, c := range shares {
@@ -78,53 +78,55 @@
 	return out
 }
 
-// rolloutStates reads what instances do.
+// decodeRolloutStates decodes the roll-out states of one or more instances.
 func rolloutStates(r *peerpb.Rollouts) []rollctl.State {
 	return lo.Map(r.GetStates(), func(s *peerpb.RolloutState, _ int) rollctl.State {
 		return rollctl.State{Service: s.Service, Order: store.Revision(s.Order), Phase: rollout.Phase(s.Phase), Open: s.Open, Instances: s.Instances}
 	})
 }
 
-// applyPermits takes the leader's permits, whoever passes them on.
+// applyPermits applies the roll-out leader's permits, which any peer may relay.
 func (n *Instance) applyPermits(r *peerpb.Rollouts, now time.Time) {
 	for _, p := range r.GetPermits() {
 		n.rollouts.Permitted(rollctl.Permit{Service: p.Service, Order: store.Revision(p.Order), Number: p.Number}, now)
 	}
 }
 
-// applyRollouts takes what another instance, or a hub for its group, shares of roll-outs.
+// applyRollouts applies the roll-out part of a peer's share, or of another hub's share for its
+// group.
 func (n *Instance) applyRollouts(fleet rollctl.Fleet, s *peerpb.Share, now time.Time) {
 	n.applyPermits(s.Rollouts, now)
 	n.rollouts.Apply(fleet, tally.Source{Instance: s.Node, Incarnation: s.Incarnation}, rolloutCounts(s.Rollouts.GetCounts()))
 	n.rollouts.ApplyStates(s.Node, rolloutStates(s.Rollouts), now)
 }
 
-// groupStates sums what this hub and the instances that report to it do in roll-outs, but
-// for one of these.
-func (n *Instance) groupStates(reports map[string]reported, but string) []rollctl.State {
+// groupStates sums the roll-out states of this hub and of the instances that report to it,
+// leaving out one of these.
+func (n *Instance) groupStates(reports map[string]reported, except string) []rollctl.State {
 	states := n.rollouts.States(n.openRequests())
 	for from, r := range reports {
-		if from != but {
+		if from != except {
 			states = rollctl.SumStates(states, r.rollouts)
 		}
 	}
 	return states
 }
 
-// groupRollouts is what this hub shares of its group.
+// groupRollouts encodes the counts and states of this hub's group.
 func (n *Instance) groupRollouts(reports map[string]reported) *peerpb.Rollouts {
-	return n.rolloutShares(n.rollouts.Group(), n.groupStates(reports, ""))
+	return n.encodeRollouts(n.rollouts.Group(), n.groupStates(reports, ""))
 }
 
-// digestRollouts is what this hub reports of all groups, with their counts if they are
-// asked for, but for the states of one instance.
+// digestRollouts encodes roll-outs for the digest sent to one instance: only the permits, or
+// with counts set also the counts and states of all groups, leaving out that instance's own
+// state.
 func (n *Instance) digestRollouts(to string, reports map[string]reported, others map[string]peerGroup, counts bool) *peerpb.Rollouts {
 	if !counts {
-		return n.rolloutShares(nil, nil)
+		return n.encodeRollouts(nil, nil)
 	}
 	states := n.groupStates(reports, to)
 	for _, other := range others {
 		states = rollctl.SumStates(states, rolloutStates(other.share.Rollouts))
 	}
-	return n.rolloutShares(n.rollouts.AllCounts(), states)
+	return n.encodeRollouts(n.rollouts.AllCounts(), states)
 }
--- a/internal/front/rolloutrestored_test.go
+++ b/internal/front/rolloutrestored_test.go
@@ -11,6 +11,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
+// A version that was rolled back must stay rolled back when the store is restored from a copy
+// that is older than the roll-back, until the operators order it again.
 func TestAVersionThatWasRolledBackStaysSoAfterTheStoreIsRestored(t *testing.T) {
 	const (
 		beforeOrder = iota
@@ -24,7 +26,7 @@
 				if when == beforeOrder {
 					backup = w.store.Backup()
 				}
-				o := w.rollOut(conduct{fails: 0.3}, 200, func() {
+				o := w.rollOut(versionBehavior{failShare: 0.3}, 200, func() {
 					if when == inTrial {
 						backup = w.store.Backup()
 					}
@@ -41,14 +43,14 @@
 				value, err := json.Marshal(rollout.Order{Target: "v2", Window: 12 * time.Second})
 				is.NoErr(err)
 				w.store.Put("op/rollout/svc", value)
-				for i := range oldServers + newServers {
+				for i := range oldEndpoints + newEndpoints {
 					w.putServer(i, false)
 				}
 				time.Sleep(8 * time.Second)
 				stop()
 				is.Equal(w.arrivedAt("v2"), arrived)
 				is.Equal(w.status(), string(rollout.RolledBack))
-				w.order("v2", 12*time.Second) // the operators want it tried again
+				w.order("v2", 12*time.Second) // a new order for the same version
 				stop = w.load(200)
 				time.Sleep(6 * time.Second)
 				stop()
@@ -58,7 +60,7 @@
 	}
 }
 
-// arrivedAt returns how many requests reached a version since the last order.
+// arrivedAt returns how many requests reached a version since the last call of order.
 func (w *world) arrivedAt(version string) int {
 	w.rolls.mu.Lock()
 	defer w.rolls.mu.Unlock()
--- a/internal/front/rollouts.go
+++ b/internal/front/rollouts.go
@@ -18,41 +18,43 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// rolloutState is what an instance knows of roll-outs. It belongs to the state's
-// goroutine.
+// rolloutState holds the roll-out orders and records read from the store. It belongs to the
+// goroutine of state.
 type rolloutState struct {
-	instance *Instance
-	orders   map[string]rollout.Order        // newest, by service
-	records  map[string]writtenRecord        // newest, by service
-	seen     map[string]map[string]time.Time // when a version came up, by service and version
-	read     bool                            // what the operators wrote was read once
-	fresh    map[string]bool                 // services whose order came after that
+	instance            *Instance
+	orders              map[string]rollout.Order        // newest, by service
+	records             map[string]storedRecord         // newest, by service
+	versionSeenAt       map[string]map[string]time.Time // when a version first appeared, by service and version
+	ordersRead          bool                            // the operators' keys were read at least once
+	orderedWhileRunning map[string]bool                 // services whose order was first seen after ordersRead was set
 }
 
-// writtenRecord is a record as the store has it.
-type writtenRecord struct {
+// storedRecord is a roll-out record and its state in the store.
+type storedRecord struct {
 	rollout.Record
-	revision store.Revision
-	lost     bool // the store has none, or an earlier one than this, at the revision
+	revision store.Revision // of the record in the store; 0 if there is none
+	lost     bool           // the store has no record, or an older one than this
 }
 
 func newRolloutState(n *Instance) *rolloutState {
 	return &rolloutState{
-		instance: n, orders: make(map[string]rollout.Order), records: make(map[string]writtenRecord),
-		seen: make(map[string]map[string]time.Time), fresh: make(map[string]bool),
+		instance: n, orders: make(map[string]rollout.Order), records: make(map[string]storedRecord),
+		versionSeenAt: make(map[string]map[string]time.Time), orderedWhileRunning: make(map[string]bool),
 	}
 }
 
-// takeOperators takes what the operators wrote, as read, and reports whether an order is
+// applyOperatorItems applies a read of the operators' keys, and reports whether an order is
 // new.
 func (s *rolloutState) takeOperators(items []store.Item) (changed bool) {
 	for _, item := range items {
 		changed = s.takeOrder(item) || changed
 	}
-	s.read = true
+	s.ordersRead = true
 	return changed
 }
 
+// applyOrder applies an operators' item if it is a roll-out order, and reports whether the
+// order is new.
 func (s *rolloutState) takeOrder(item store.Item) bool {
 	if item.Key == s.instance.Decoder.ConfigKey() {
 		return false
@@ -66,30 +68,33 @@
 	}
 	order.Revision = item.Revision
 	if known, ok := s.orders[order.Service]; ok && known.Revision.Era() < order.Revision.Era() || s.settling() {
-		return s.takeOrderAgain(known, order, ok)
+		return s.applyRestoredOrder(known, order, ok)
 	}
-	s.orders[order.Service], s.fresh[order.Service] = order, s.read
+	s.orders[order.Service], s.orderedWhileRunning[order.Service] = order, s.ordersRead
 	s.instance.event(event.RolloutOrdered, zap.String("service", order.Service), zap.String("target", order.Target), zap.Int64("order", int64(order.Revision)), zap.Duration("window", order.Window))
 	return true
 }
 
+// settling reports whether operators and endpoints may still be rewriting what a restore of
+// the store lost.
 func (s *rolloutState) settling() bool {
 	return s.instance.state.settling(s.instance.Clock.Now())
 }
 
-// takeOrderAgain takes an order that is read in a later era of the store than the one known, if
-// there is one. Another one than that counts once the store has settled: it may be older.
-func (s *rolloutState) takeOrderAgain(known, order rollout.Order, exists bool) bool {
+// applyRestoredOrder applies an order read after a restore of the store. An order that
+// differs from the known one is ignored until the store has settled: it may be older.
+func (s *rolloutState) applyRestoredOrder(known, order rollout.Order, exists bool) bool {
 	same := exists && known.Target == order.Target && known.Window == order.Window
 	if !same && s.settling() {
 		return false
 	}
 	s.orders[order.Service] = order
-	s.fresh[order.Service] = s.fresh[order.Service] && same || !same && s.read
+	s.orderedWhileRunning[order.Service] = s.orderedWhileRunning[order.Service] && same || !same && s.ordersRead
 	return true
 }
 
-// listed takes note of records that a listing of a later era lacks.
+// markLostRecords marks known records as lost if they are missing from a listing that was
+// made after a restore of the store.
 func (s *rolloutState) listed(items []store.Item, at store.Revision) {
 	for service, r := range s.records {
 		key := s.instance.Decoder.OwnPrefix() + keyRollouts + service
@@ -100,11 +105,12 @@
 	}
 }
 
-// takeRecord takes a record, and reports whether it is new.
+// applyRecord applies an item if it is a roll-out record, and reports whether the record is
+// new. If the store has an older record than the known one, that is kept and marked as lost.
 func (s *rolloutState) takeRecord(item store.Item) bool {
 	name, ok := strings.CutPrefix(item.Key, s.instance.Decoder.OwnPrefix()+keyRollouts)
 	if !ok || item.Revision <= s.records[name].revision {
-		return false // an earlier one, that came late
+		return false // older, delivered late
 	}
 	var r rollout.Record
 	if err := json.Unmarshal(item.Value, &r); err != nil {
@@ -119,17 +125,17 @@
 	return s.wrote(r, item.Revision)
 }
 
-// wrote notes a record as written at a revision, and reports whether it is new:
-// the watch may have brought a later one.
+// recordWritten sets the record written at a revision, and reports whether it is new: the
+// watch may have delivered a later one before.
 func (s *rolloutState) wrote(r rollout.Record, at store.Revision) bool {
 	if at <= s.records[r.Service].revision {
 		return false
 	}
-	s.records[r.Service] = writtenRecord{Record: r, revision: at}
+	s.records[r.Service] = storedRecord{Record: r, revision: at}
 	return true
 }
 
-// known returns what is known of a service's roll-out.
+// known returns the order and the record of a service's roll-out.
 func (s *rolloutState) known(service string) rollctl.Known {
 	var k rollctl.Known
 	if order, ok := s.orders[service]; ok {
@@ -142,54 +148,54 @@
 	return k
 }
 
-// see notes when the versions of a service's endpoints came up. One that is gone is
-// forgotten: if it comes up again an order may have named it since.
-func (s *rolloutState) see(service string, servers []registry.Endpoint, now time.Time) {
-	seen := make(map[string]time.Time, len(s.seen[service]))
-	for _, server := range servers {
-		at, known := s.seen[service][server.Version]
+// trackVersions records when each version among a service's endpoints appeared. A version
+// without endpoints is dropped: an order may name it before it appears again.
+func (s *rolloutState) trackVersions(service string, endpoints []registry.Endpoint, now time.Time) {
+	seen := make(map[string]time.Time, len(s.versionSeenAt[service]))
+	for _, endpoint := range endpoints {
+		at, known := s.versionSeenAt[service][endpoint.Version]
 		if !known {
 			at = now
 		}
-		seen[server.Version] = at
+		seen[endpoint.Version] = at
 	}
-	s.seen[service] = seen
+	s.versionSeenAt[service] = seen
 }
 
-// divide puts a service's endpoints into a view, divided as its roll-out asks for.
-func (s *rolloutState) divide(v *forward.View, service string, servers []registry.Endpoint, now time.Time) *rollctl.Known {
-	s.see(service, servers, now)
-	// A version may be one that an order names of which this instance has not read yet,
-	// until what the operators wrote was read after the version came up.
-	unproved := func(version string) bool { return !v.ProvedAt.After(s.seen[service][version]) }
+// divide puts a service's endpoints into a view, split into main and trial according to its
+// roll-out. It returns nil if the service has no roll-out.
+func (s *rolloutState) divide(v *forward.View, service string, endpoints []registry.Endpoint, now time.Time) *rollctl.Known {
+	s.trackVersions(service, endpoints, now)
+	// An order not yet read may name a version, until the operators' keys are read after
+	// the version appeared.
+	unproved := func(version string) bool { return !v.ProvedAt.After(s.versionSeenAt[service][version]) }
 	known := s.known(service)
 	r, ok := rollout.Current(known.Order, known.Record)
-	arms := s.instance.rollouts.Divide(servers, r, unproved)
+	arms := s.instance.rollouts.Divide(endpoints, r, unproved)
 	v.Endpoints[service] = arms.Main
 	if !ok {
 		return nil
 	}
 	v.Trial[service], v.Rollouts[service] = arms.Trial, r
-	if s.instance.rollouts.Follow(r, arms, v.Instances, s.fresh[service]) {
+	if s.instance.rollouts.Follow(r, arms, v.Instances, s.orderedWhileRunning[service]) {
 		s.instance.event(event.RolloutFollowed, zap.String("service", service), zap.Int64("order", int64(r.Order)), zap.String("target", r.Target), zap.String("phase", string(r.Phase)), zap.Int("main", len(arms.Main)), zap.Int("trial", len(arms.Trial)))
 	}
-	for _, server := range servers {
-		if server.Version == r.Target {
+	for _, endpoint := range endpoints {
+		if endpoint.Version == r.Target {
 			known.Targets++
-		} else if !slices.Contains(r.Rejected, server.Version) {
+		} else if !slices.Contains(r.Rejected, endpoint.Version) {
 			known.Others++
 		}
 	}
 	return &known
 }
 
-// rolloutHost is what the leader of roll-outs needs of its instance. It implements
-// rollctl.Host.
+// rolloutHost gives the roll-out leader access to its instance. It implements rollctl.Host.
 type rolloutHost struct{ *Instance }
 
 // Acting implements rollctl.Host.
 func (h rolloutHost) Acting(ctx context.Context) (context.Context, context.CancelFunc, duty.Token, bool) {
-	return h.acting(ctx)
+	return h.leaderContext(ctx)
 }
 
 // Day implements rollctl.Host.
@@ -215,7 +221,7 @@
 // Open implements rollctl.Host.
 func (h rolloutHost) Open() map[string]int { return h.openRequests() }
 
-// openRequests returns this instance's requests by endpoint.
+// openRequests returns the number of this instance's open requests by endpoint.
 func (n *Instance) openRequests() map[string]int {
 	open := make(map[string]int)
 	for id, use := range n.tracker.Uses() {
--- a/internal/front/rollouts_test.go
+++ b/internal/front/rollouts_test.go
@@ -22,37 +22,39 @@
 const (
 	exposeShare   = 0.1
 	exposeSlack   = 50
-	rollbackBound = 5 * time.Second // from the 50th bad answer to the last request
-	oldServers    = 12
-	newServers    = 12
-	operators     = "operators" // as the store knows them
+	rollbackBound = 5 * time.Second // from the 50th bad answer of a version to the last request sent to it
+	oldEndpoints  = 12
+	newEndpoints  = 12
+	operators     = "operators" // name of their store client
 )
 
-// conduct is how a version serves.
-type conduct struct {
-	fails float64       // share of requests
-	slow  float64       // times as long as usual
-	path  string        // the only one that it is bad on; "" for all
-	after time.Duration // of its first request, from when on it is bad
-	load  int           // requests at once at an endpoint from which on it is bad
+// versionBehavior is how the endpoints of a version serve requests; bad means that it fails
+// requests or is slow.
+type versionBehavior struct {
+	failShare    float64       // share of requests that fail
+	slowFactor   float64       // factor on the usual duration
+	path         string        // prefix of the only path on which it is bad; "" for all
+	badAfter     time.Duration // time after its first request from which it is bad
+	badAboveLoad int           // bad while an endpoint has more open requests than this
 }
 
-// rolls is the endpoints' side of roll-outs. Its methods do nothing on nil.
+// rolloutEndpoints simulates the endpoints of both versions, and counts their requests. On nil
+// its methods do nothing.
 type rolls struct {
-	mu      sync.Mutex
-	random  *rand.Rand           // guarded by mu
-	ofV2    conduct              // guarded by mu
-	first   time.Time            // first request at v2; guarded by mu
-	open    map[string]int       // requests by server; guarded by mu
-	arrived map[string]int       // requests by version, since the order; guarded by mu
-	lastAt  map[string]time.Time // last request by version; guarded by mu
-	bad     int                  // bad answers of v2; guarded by mu
-	fiftyAt time.Time            // of the 50th of them; guarded by mu
+	mu            sync.Mutex
+	random        *rand.Rand           // guarded by mu
+	v2Behavior    versionBehavior      // guarded by mu
+	first         time.Time            // time of the first request at v2; guarded by mu
+	open          map[string]int       // open requests by endpoint; guarded by mu
+	arrived       map[string]int       // requests by version since the order; guarded by mu
+	lastAt        map[string]time.Time // time of the last request by version; guarded by mu
+	badAnswers    int                  // number of bad answers of v2; guarded by mu
+	fiftiethBadAt time.Time            // time of the 50th of them; guarded by mu
 }
 
-// withRollouts gives a world roll-outs.
+// withRollouts is an option that enables roll-outs in a world.
 func withRollouts(w *world) {
-	w.store.SetFaults(operators, storetest.Faults{}) // they meet none
+	w.store.SetFaults(operators, storetest.Faults{}) // their client meets no faults
 	w.rolls = &rolls{
 		random: rand.New(rand.NewPCG(1, 2)), open: make(map[string]int),
 		arrived: make(map[string]int), lastAt: make(map[string]time.Time),
@@ -66,62 +68,63 @@
 	return exposeShare
 }
 
+// version returns the version of the i-th endpoint.
 func (r *rolls) version(i int) string {
 	switch {
 	case r == nil:
 		return ""
-	case i < oldServers:
+	case i < oldEndpoints:
 		return "v1"
 	}
 	return "v2"
 }
 
-func indexOf(server string) int {
-	i, _ := strconv.Atoi(strings.TrimPrefix(server, "s"))
+func indexOf(endpoint string) int {
+	i, _ := strconv.Atoi(strings.TrimPrefix(endpoint, "s"))
 	return i
 }
 
-// serve counts a request, and returns how long it takes and whether it fails.
-func (r *rolls) serve(server, path string, hold time.Duration) (time.Duration, bool) {
+// serve counts a request, and returns how long the endpoint works on it and whether it fails.
+func (r *rolls) serve(endpoint, path string, hold time.Duration) (time.Duration, bool) {
 	if r == nil {
 		return hold, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	version, now := r.version(indexOf(server)), time.Now()
+	version, now := r.version(indexOf(endpoint)), time.Now()
 	r.arrived[version]++
 	r.lastAt[version] = now
-	r.open[server]++
+	r.open[endpoint]++
 	if version == "v1" {
 		return hold, false
 	}
 	if r.first.IsZero() {
 		r.first = now
 	}
-	c := r.ofV2
-	if c.path != "" && !strings.HasPrefix(path, c.path) || now.Sub(r.first) < c.after || r.open[server] <= c.load {
+	c := r.v2Behavior
+	if c.path != "" && !strings.HasPrefix(path, c.path) || now.Sub(r.first) < c.badAfter || r.open[endpoint] <= c.badAboveLoad {
 		return hold, false
 	}
-	fails := r.random.Float64() < c.fails
-	if fails || c.slow > 1 {
-		r.bad++
-		if r.bad == 50 {
-			r.fiftyAt = now
+	fails := r.random.Float64() < c.failShare
+	if fails || c.slowFactor > 1 {
+		r.badAnswers++
+		if r.badAnswers == 50 {
+			r.fiftiethBadAt = now
 		}
 	}
-	return time.Duration(max(1, c.slow) * float64(hold)), fails
+	return time.Duration(max(1, c.slowFactor) * float64(hold)), fails
 }
 
-func (r *rolls) served(server string) {
+func (r *rolls) served(endpoint string) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[server]--
+	r.open[endpoint]--
 }
 
-// order orders a roll-out and starts the endpoints of its version.
+// order writes an order for a roll-out to the store.
 func (w *world) order(target string, window time.Duration) {
 	w.rolls.mu.Lock()
 	clear(w.rolls.arrived)
@@ -139,7 +142,7 @@
 	}
 }
 
-// status returns what the operators are told.
+// status returns the roll-out's status that the leader wrote for the operators; empty if none.
 func (w *world) status() string {
 	item, _, err := w.store.Client(operators).Get(w.t.Context(), "status/rollout/svc")
 	if err != nil {
@@ -148,12 +151,12 @@
 	return string(item.Value)
 }
 
-// load sends requests to all nodes at even times until the returned function is called,
-// which returns how many were answered well and how many were not.
-func (w *world) load(rate int) (stop func() (well, ill int)) {
+// load sends requests to all instances in turn, rate a second, until the returned function is
+// called, which returns how many succeeded and how many failed.
+func (w *world) load(rate int) (stop func() (succeeded, failed int)) {
 	ended, done := make(chan struct{}), make(chan struct{})
 	var mu sync.Mutex
-	well, ill := 0, 0
+	succeeded, failed := 0, 0
 	names := namesOf(w)
 	go func() {
 		defer close(done)
@@ -171,9 +174,9 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if status == 200 {
-					well++
+					succeeded++
 				} else {
-					ill++
+					failed++
 				}
 			})
 		}
@@ -183,38 +186,38 @@
 		<-done
 		mu.Lock()
 		defer mu.Unlock()
-		return well, ill
+		return succeeded, failed
 	}
 }
 
-// rolled is what came of a roll-out.
-type rolled struct {
-	status      string
-	after       time.Duration // from the order until the status was final
-	v1, v2      int           // requests from the order until its deadline, or until v1 was stopped
-	lastV2      time.Duration // from the 50th bad answer to the last request at v2
-	openAtEnd   int           // requests at v1 when the status became completed
-	well, ill   int
-	v2AfterBack int
+// rolloutResult is the outcome of a roll-out.
+type rolloutResult struct {
+	status            string
+	after             time.Duration // from the order until the status was final
+	v1, v2            int           // requests by version from the order to the end of its window
+	lastV2            time.Duration // from the 50th bad answer to the last request at v2
+	openAtEnd         int           // requests at v1 when the status became completed
+	succeeded, failed int
+	v2AfterRollback   int // requests at v2 after the end of the window
 }
 
-// rollOut plays a roll-out with a window of 12 s.
-func (w *world) rollOut(c conduct, rate int, meanwhile func()) rolled {
+// rollOut runs a roll-out with a window of 12 s under load, calling meanwhile beside it.
+func (w *world) rollOut(c versionBehavior, rate int, meanwhile func()) rolloutResult {
 	w.rolls.mu.Lock()
-	w.rolls.ofV2 = c
+	w.rolls.v2Behavior = c
 	w.rolls.mu.Unlock()
-	w.startVersions(testServers, oldServers)
+	w.startVersions(testServers, oldEndpoints)
 	time.Sleep(time.Second)
 	stop := w.load(rate)
 	time.Sleep(4 * time.Second)
 	begin := time.Now()
 	w.order("v2", 12*time.Second)
 	time.Sleep(time.Second)
-	w.startVersions(oldServers, oldServers+newServers)
+	w.startVersions(oldEndpoints, oldEndpoints+newEndpoints)
 	if meanwhile != nil {
 		go meanwhile()
 	}
-	var out rolled
+	var out rolloutResult
 	for time.Since(begin) < 25*time.Second {
 		time.Sleep(20 * time.Millisecond)
 		if s := w.status(); s == string(rollout.Completed) || s == string(rollout.RolledBack) {
@@ -223,13 +226,13 @@
 		}
 	}
 	w.rolls.mu.Lock()
-	for i := range oldServers {
+	for i := range oldEndpoints {
 		out.openAtEnd += w.rolls.open[serverID(i)]
 	}
 	w.rolls.mu.Unlock()
 	if out.status == string(rollout.Completed) {
-		for i := range oldServers {
-			w.stopServer(i)
+		for i := range oldEndpoints {
+			w.stopEndpoint(i)
 		}
 	}
 	time.Sleep(max(0, 12*time.Second-time.Since(begin)))
@@ -237,34 +240,33 @@
 	out.v1, out.v2 = w.rolls.arrived["v1"], w.rolls.arrived["v2"]
 	w.rolls.mu.Unlock()
 	time.Sleep(4 * time.Second)
-	out.well, out.ill = stop()
+	out.succeeded, out.failed = stop()
 	w.rolls.mu.Lock()
 	defer w.rolls.mu.Unlock()
-	if !w.rolls.fiftyAt.IsZero() {
-		out.lastV2 = w.rolls.lastAt["v2"].Sub(w.rolls.fiftyAt)
+	if !w.rolls.fiftiethBadAt.IsZero() {
+		out.lastV2 = w.rolls.lastAt["v2"].Sub(w.rolls.fiftiethBadAt)
 	}
-	out.v2AfterBack = w.rolls.arrived["v2"] - out.v2
+	out.v2AfterRollback = w.rolls.arrived["v2"] - out.v2
 	return out
 }
 
-// stopServer ends a server at once, as one whose version is not wanted any more.
-func (w *world) stopServer(i int) {
+// stopEndpoint stops an endpoint of the old version at once.
+func (w *world) stopEndpoint(i int) {
 	w.store.Put("server/"+serverID(i), nil)
 	w.mem.Kill(serverID(i))
 }
 
-// keepsBounds checks what holds for each roll-out of a bad version.
-func (o rolled) keepsBounds(is *is.I, t *testing.T) {
+// checkBounds checks what must hold for every roll-out of a bad version.
+func (o rolloutResult) checkBounds(is *is.I, t *testing.T) {
 	t.Helper()
 	t.Logf("%+v", o)
 	is.True(float64(o.v2) <= exposeShare*float64(o.v1+o.v2)+exposeSlack)
 	is.True(o.lastV2 <= rollbackBound)
-	is.Equal(o.v2AfterBack, 0)
+	is.Equal(o.v2AfterRollback, 0)
 }
 
-// fleetsOf returns the sizes of the fleets that the i-th case is played on: a small one
-// or a large one by turns, and both with SHELFCRANK_PLAYS=all. With the race detector all
-// of them take five minutes and more.
+// fleetsOf returns the fleet sizes for the i-th test case: a small and a large one by turns,
+// or both with SHELFCRANK_PLAYS=all, which takes over five minutes with the race detector.
 func fleetsOf(i int) []int {
 	both := []int{8, large}
 	if os.Getenv("SHELFCRANK_PLAYS") == "all" {
@@ -273,15 +275,15 @@
 	return both[i%2 : i%2+1]
 }
 
-// While a version is on trial, and while requests shift to it, the endpoints of both keep
-// their connections and what is known of them, whichever gets the next request.
+// During the trial and the shift of a roll-out, the endpoints of both versions count as in
+// use, so that connections and what is known of them are kept.
 func TestEndpointsOfBothVersionsAreInUse(t *testing.T) {
 	play(t, 3, func(is *is.I, w *world) {
-		looks := make(chan int, 1)
+		checks := make(chan int, 1)
 		meanwhile := func() {
-			time.Sleep(2 * time.Second) // all know of the endpoints that have just come up
-			looked := 0
-			defer func() { looks <- looked }()
+			time.Sleep(2 * time.Second) // until all instances know the endpoints just started
+			checked := 0
+			defer func() { checks <- checked }()
 			for range 30 {
 				time.Sleep(250 * time.Millisecond)
 				n := w.nodes["n0"].node
@@ -289,48 +291,48 @@
 				if phase != rollout.Trial && phase != rollout.Shift {
 					continue
 				}
-				looked++
-				if in := len(n.endpointsInUse()); in != oldServers+newServers {
-					t.Errorf("%d of %d servers in use in the phase %s", in, oldServers+newServers, phase)
+				checked++
+				if in := len(n.endpointsInUse()); in != oldEndpoints+newEndpoints {
+					t.Errorf("%d of %d endpoints in use in the phase %s", in, oldEndpoints+newEndpoints, phase)
 				}
 			}
 		}
-		is.Equal(w.rollOut(conduct{}, 200, meanwhile).status, string(rollout.Completed))
-		is.True(<-looks > 10)
+		is.Equal(w.rollOut(versionBehavior{}, 200, meanwhile).status, string(rollout.Completed))
+		is.True(<-checks > 10)
 	}, withRollouts)
 }
 
 func TestAGoodVersionIsCompletedInTime(t *testing.T) {
-	for _, nodes := range []int{3, 8, large} {
-		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			play(t, nodes, func(is *is.I, w *world) {
-				o := w.rollOut(conduct{}, 200, nil)
+	for _, instances := range []int{3, 8, large} {
+		t.Run(fmt.Sprint(instances), func(t *testing.T) {
+			play(t, instances, func(is *is.I, w *world) {
+				o := w.rollOut(versionBehavior{}, 200, nil)
 				w.t.Logf("%+v", o)
 				is.Equal(o.status, string(rollout.Completed))
 				is.True(o.after < 12*time.Second)
 				is.Equal(o.openAtEnd, 0)
-				is.Equal(o.ill, 0)
+				is.Equal(o.failed, 0)
 			}, withRollouts)
 		})
 	}
 }
 
 func TestABadVersionIsRolledBack(t *testing.T) {
-	kinds := map[string]conduct{
-		"fails":        {fails: 0.3},
-		"fails all":    {fails: 1},
-		"slow":         {slow: 5},
-		"fails later":  {fails: 0.4, after: 3 * time.Second},
-		"on one route": {fails: 0.5, path: "/once/"},
-		"slow on one":  {slow: 5, path: "/safe/"},
+	kinds := map[string]versionBehavior{
+		"fails":        {failShare: 0.3},
+		"fails all":    {failShare: 1},
+		"slow":         {slowFactor: 5},
+		"fails later":  {failShare: 0.4, badAfter: 3 * time.Second},
+		"on one route": {failShare: 0.5, path: "/once/"},
+		"slow on one":  {slowFactor: 5, path: "/safe/"},
 	}
 	for i, name := range slices.Sorted(maps.Keys(kinds)) {
-		for _, nodes := range fleetsOf(i) {
+		for _, instances := range fleetsOf(i) {
 			c := kinds[name]
-			t.Run(fmt.Sprint(name, " ", nodes), func(t *testing.T) {
-				play(t, nodes, func(is *is.I, w *world) {
+			t.Run(fmt.Sprint(name, " ", instances), func(t *testing.T) {
+				play(t, instances, func(is *is.I, w *world) {
 					o := w.rollOut(c, 200, nil)
-					o.keepsBounds(is, w.t)
+					o.checkBounds(is, w.t)
 					is.Equal(o.status, string(rollout.RolledBack))
 				}, withRollouts)
 			})
@@ -338,8 +340,9 @@
 	}
 }
 
-// A holder that is killed, all that are, a store that is down, and a node that the
-// others do not reach, in the middle of a roll-out.
+// Roll-outs under faults: the leader or all instances are killed, the store is down, loses
+// answers or forgets its history, or one instance is partitioned. A bad version is rolled back
+// within the bounds all the same, and a good one completed.
 func TestRolloutsUnderFaults(t *testing.T) {
 	faults := map[string]func(w *world){
 		"holder killed": func(w *world) {
@@ -383,18 +386,18 @@
 	}
 	for i, name := range slices.Sorted(maps.Keys(faults)) {
 		fault := faults[name]
-		for _, nodes := range fleetsOf(i) {
-			t.Run(fmt.Sprint(name, ", bad, ", nodes), func(t *testing.T) {
-				play(t, nodes, func(is *is.I, w *world) {
-					o := w.rollOut(conduct{fails: 0.3}, 200, func() { fault(w) })
-					o.keepsBounds(is, w.t)
+		for _, instances := range fleetsOf(i) {
+			t.Run(fmt.Sprint(name, ", bad, ", instances), func(t *testing.T) {
+				play(t, instances, func(is *is.I, w *world) {
+					o := w.rollOut(versionBehavior{failShare: 0.3}, 200, func() { fault(w) })
+					o.checkBounds(is, w.t)
 					is.Equal(o.status, string(rollout.RolledBack))
 				}, withRollouts)
 			})
 		}
 		t.Run(name+", good", func(t *testing.T) {
 			play(t, large, func(is *is.I, w *world) {
-				o := w.rollOut(conduct{}, 200, func() { fault(w) })
+				o := w.rollOut(versionBehavior{}, 200, func() { fault(w) })
 				w.t.Logf("%+v", o)
 				is.Equal(o.status, string(rollout.Completed))
 				is.Equal(o.openAtEnd, 0)
@@ -403,7 +406,7 @@
 	}
 }
 
-// holder returns the node that acts for all.
+// leader returns the name of the instance that is the leader.
 func (w *world) holder() string {
 	for name, r := range w.nodes {
 		if _, _, ok := r.node.elector.Token(time.Now()); ok {
@@ -413,6 +416,7 @@
 	return "n0"
 }
 
+// killAndStart kills instances and starts them again half a second later.
 func (w *world) killAndStart(names ...string) {
 	w.kill(names...)
 	time.Sleep(500 * time.Millisecond)
@@ -421,7 +425,7 @@
 	}
 }
 
-// recordPhase returns how far the roll-out is, as its record says.
+// recordPhase returns the phase in the roll-out's record in the store.
 func (w *world) recordPhase() rollout.Phase {
 	item, _, err := w.store.Client(operators).Get(w.t.Context(), "own/"+keyRollouts+"svc")
 	if err != nil {
@@ -434,7 +438,7 @@
 	return r.Phase
 }
 
-// cutOff cuts a node off from all others, or ends that. It reaches the store.
+// cutOff partitions an instance from all others, or ends that. It still reaches the store.
 func (w *world) cutOff(name string, cut bool) {
 	for other, r := range w.nodes {
 		if other != name {
--- a/internal/front/standin.go
+++ b/internal/front/standin.go
@@ -12,88 +12,90 @@
 	"github.com/shelfcrank/shelfcrank/internal/topology"
 )
 
-// Times of reading the store in place of readers that cannot.
+// Times of standing in for the readers. In a large fleet a few hubs, the readers, read the
+// store for all instances; while they cannot, standby instances read it on request.
 const (
-	standInKeep = 2 * time.Second        // after the last question an instance goes on reading
-	standInWait = 300 * time.Millisecond // that a question is held until this instance knows what is in the store
-	standInLook = 20 * time.Millisecond  // between looks whether it does: a listing takes some 10 ms
-	// standInFor is how long an instance asks one that stands in before it tries a reader
-	// again.
+	standInTTL     = 2 * time.Second        // a standby reads this long after the last request
+	standInMaxWait = 300 * time.Millisecond // a request waits this long for the first read of the store
+	standInPoll    = 20 * time.Millisecond  // between checks for that read; a listing takes about 10 ms
+	// readerRetryInterval is how long an instance reads through a standby before it tries
+	// a reader again.
 	standInFor = 4 * time.Second
 )
 
-// standIn is what others ask of this instance: to read the store in place of the
+// standIn tracks requests of peers that this instance read the store in place of the
 // readers. It is safe for concurrent use.
 type standIn struct {
-	since atomic.Int64  // when that began, Unix nanoseconds
-	until atomic.Int64  // when it ends if nobody asks again, Unix nanoseconds
-	kick  chan struct{} // somebody asked; has room for one
-	clock *clock.Clock
+	since    atomic.Int64  // first request of the current period, Unix nanoseconds
+	until    atomic.Int64  // end of the period unless requested again, Unix nanoseconds
+	requests chan struct{} // signals a request; capacity 1
+	clock    *clock.Clock
 }
 
-func newStandIn(c *clock.Clock) *standIn { return &standIn{kick: make(chan struct{}, 1), clock: c} }
+func newStandIn(c *clock.Clock) *standIn { return &standIn{requests: make(chan struct{}, 1), clock: c} }
 
-// asked reports whether this instance was asked of late.
+// requested reports whether a peer requested reading within standInTTL.
 func (s *standIn) asked(now time.Time) bool { return now.UnixNano() < s.until.Load() }
 
-// ask notes that somebody asks, and returns when that began.
-func (s *standIn) ask(now time.Time) time.Time {
+// request records a request, and returns when the current period began.
+func (s *standIn) request(now time.Time) time.Time {
 	if !s.asked(now) {
 		s.since.Store(now.UnixNano())
 	}
-	s.until.Store(now.Add(standInKeep).UnixNano())
+	s.until.Store(now.Add(standInTTL).UnixNano())
 	return time.Unix(0, s.since.Load())
 }
 
-// signal ends the contexts of untilAsked.
+// signal cancels the context of untilRequested.
 func (s *standIn) signal() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.requests <- struct{}{}:
 	default:
 	}
 }
 
-// untilAsked returns a context that ends when somebody asks: this instance may just be
-// waiting for a reader that is dead.
+// untilRequested returns a context that is cancelled when a peer requests reading, even
+// while this instance itself waits for a dead reader.
 func (s *standIn) untilAsked(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	if !s.asked(s.clock.Now()) {
 		select {
-		case <-s.kick: // from before this instance read the store the last time
+		case <-s.requests: // left over from an earlier period
 		default:
 		}
 	}
 	go func() {
-		if kicked(ctx, s.kick) {
+		if kicked(ctx, s.requests) {
 			cancel()
 		}
 	}()
 	return ctx, cancel
 }
 
-// readsForOthers reports whether other instances rely on what this one reads.
+// readsForOthers reports whether this instance reads the store for others, as a reader or
+// as a standby.
 func (n *Instance) readsForOthers() bool {
 	return n.state.members.topology().Reads || n.standIn.asked(n.Clock.Now())
 }
 
-// readForOthers makes this instance read the store for a while. If it begins to, it waits
-// a moment until it knows what is there.
+// readForOthers makes this instance read the store for standInTTL. It waits up to
+// standInMaxWait for the first read to complete.
 func (n *Instance) readForOthers(ctx context.Context, now time.Time) {
-	latest := n.standIn.ask(now).Add(standInWait)
+	latest := n.standIn.request(now).Add(standInMaxWait)
 	if !n.reading.Load() {
 		n.standIn.signal()
 	}
 	for n.Clock.Now().Before(latest) && !n.hub.Knows(n.Clock.Now()) {
-		if !n.Clock.Sleep(ctx, standInLook) {
+		if !n.Clock.Sleep(ctx, standInPoll) {
 			return
 		}
 	}
 }
 
-// throughStandbys reads through the first instance of a round that reads the store in
-// place of the readers, and reports whether there was one or another round is to be
-// tried. It keeps all others from reading the store themselves where it turns all readers
-// away.
+// throughStandbys follows the store through the first standby of a round that can read it.
+// It reports whether the caller should go on without reading the store directly: a standby
+// helped, this instance became a standby, or a round of standbys is left to try. This
+// keeps the whole fleet from reading the store when the store refuses all readers.
 func (s *follower) throughStandbys(ctx context.Context, hubs *topology.Topology) bool {
 	if len(hubs.Standbys) == 0 {
 		return false
@@ -103,7 +105,7 @@
 			return true
 		}
 		if s.instance.readsItself() {
-			return true // it was asked to stand in itself
+			return true // it reads the store now, maybe as a standby
 		}
 	}
 	s.setStandby("")
@@ -111,7 +113,7 @@
 	return s.round%len(hubs.Standbys) != 0
 }
 
-// setStandby notes which instance stands in for the readers; "" is none.
+// setStandby sets the standby that this instance reads through, and logs a change; "" is none.
 func (s *follower) setStandby(name string) {
 	if name != s.standby {
 		s.instance.event(event.StoreFollowed, zap.Bool("directly", false), zap.String("standby", name))
@@ -119,27 +121,27 @@
 	s.standby = name
 }
 
-// Times of trying the store alone while those that read it for others say that they
-// cannot: it is most likely down for all, and they find out when it is back.
+// Parameters of reading the store directly while readers and standbys report that they
+// cannot read it: it is most likely down for all, and they will notice when it is back.
 const (
-	outageSigns = 5               // so many in a row say so; a store that turns a third of all away rarely turns five away
-	aloneLeast  = time.Second     // after the first sign
-	aloneEvery  = 3 * time.Second // keys are honoured for 4.4 s after a proof
+	outageThreshold    = 5               // consecutive such reports; a store that refuses a third of all instances rarely refuses five in a row
+	directReadDelay    = time.Second     // minimum delay after the threshold is reached
+	directReadInterval = 3 * time.Second // API keys stay valid for 4.4 s after the configuration was last confirmed
 )
 
-// storeDown reports whether the store seems to be down for all, so that this node need
-// not try it now.
+// storeDown reports whether the store seems to be down for all instances and this instance
+// should not try it now.
 func (s *follower) storeDown() bool {
 	now := s.instance.Clock.Now()
 	switch {
-	case s.without < outageSigns:
+	case s.without < outageThreshold:
 		s.aloneAt = time.Time{}
 		return false
-	case s.aloneAt.IsZero(): // the instances of a fleet try at different moments
-		spread := topology.Pair(s.instance.Settings.Name, "alone") % uint64(aloneEvery-aloneLeast)
-		s.aloneAt = now.Add(aloneLeast + time.Duration(spread))
+	case s.aloneAt.IsZero(): // spread over the instances of the fleet
+		spread := topology.Pair(s.instance.Settings.Name, "alone") % uint64(directReadInterval-directReadDelay)
+		s.aloneAt = now.Add(directReadDelay + time.Duration(spread))
 	case now.After(s.aloneAt):
-		s.aloneAt = now.Add(aloneEvery)
+		s.aloneAt = now.Add(directReadInterval)
 		return false
 	}
 	return true
--- a/internal/front/statements_test.go
+++ b/internal/front/statements_test.go
@@ -15,115 +15,119 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
-// pair is an instance and a server.
-type pair struct{ instance, server string }
+// pair is an instance and an endpoint.
+type pair struct{ instance, endpoint string }
 
-// rest is a time during which a server wants nothing from an instance.
-type rest struct {
+// restPeriod is a pause during which an endpoint wants no requests from an instance.
+type restPeriod struct {
 	asked, until time.Time
-	got          int // requests that came after restNotice
+	requests     int // that arrived after restGrace
 }
 
 const (
-	restNotice = 500 * time.Millisecond // an instance that was asked for rest may send so long
-	restMost   = 2                      // requests that may still come during a rest
+	restGrace       = 500 * time.Millisecond // an instance that was asked for a pause may go on sending for this long
+	maxRestRequests = 2                      // requests that may still arrive during a pause
 )
 
-// said is what servers say of themselves in their answers, and what reaches them although
-// they said so. The id of a request begins with the instance that it is sent to.
+// endpointNotices simulates the notices that endpoints put into their answers (leaving, or
+// asking for a pause), and checks the requests that still reach them. The id of a request
+// begins with the name of the instance that it is sent to.
 type statements struct {
 	mu          sync.Mutex
-	leaving     map[string]bool          // servers that say they leave; guarded by mu
-	asks        map[string]time.Duration // rest that servers turn work away for; guarded by mu
-	fails       map[string]bool          // servers that run requests and fail them; guarded by mu
-	announcedAt map[pair]time.Time       // when an instance was first told that a server leaves; guarded by mu
-	rests       map[pair][]*rest         // guarded by mu
+	leaving     map[string]bool          // endpoints that announce that they leave; guarded by mu
+	restFor     map[string]time.Duration // length of the pause that endpoints ask for while they refuse requests; guarded by mu
+	fails       map[string]bool          // endpoints that run requests and fail them; guarded by mu
+	announcedAt map[pair]time.Time       // when an answer first announced to an instance that an endpoint leaves; guarded by mu
+	rests       map[pair][]*restPeriod   // guarded by mu
 }
 
 func newStatements() *statements {
-	return &statements{leaving: make(map[string]bool), asks: make(map[string]time.Duration), fails: make(map[string]bool), announcedAt: make(map[pair]time.Time), rests: make(map[pair][]*rest)}
+	return &statements{leaving: make(map[string]bool), restFor: make(map[string]time.Duration), fails: make(map[string]bool), announcedAt: make(map[pair]time.Time), rests: make(map[pair][]*restPeriod)}
 }
 
-func pairOf(server, id string) pair {
+// pairOf returns the endpoint with the instance that a request id names.
+func pairOf(endpoint, id string) pair {
 	instance, _, _ := strings.Cut(id, "/")
-	return pair{instance, server}
+	return pair{instance, endpoint}
 }
 
-// leaves makes a server say that it leaves.
-func (s *statements) leaves(server string) {
+// leaves makes an endpoint announce that it leaves.
+func (s *statements) leaves(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving[server] = true
+	s.leaving[endpoint] = true
 }
 
-// startsAgain makes a server start again: it says nothing of what it said before.
-func (s *statements) startsAgain(server string) {
+// startsAgain makes an endpoint restart: its earlier notices no longer hold.
+func (s *statements) startsAgain(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving[server] = false
-	forget := func(p pair) bool { return p.server == server }
-	maps.DeleteFunc(s.announcedAt, func(p pair, _ time.Time) bool { return forget(p) })
-	maps.DeleteFunc(s.rests, func(p pair, _ []*rest) bool { return forget(p) })
+	s.leaving[endpoint] = false
+	matches := func(p pair) bool { return p.endpoint == endpoint }
+	maps.DeleteFunc(s.announcedAt, func(p pair, _ time.Time) bool { return matches(p) })
+	maps.DeleteFunc(s.rests, func(p pair, _ []*restPeriod) bool { return matches(p) })
 }
 
-// asksRest makes a server turn work away and ask for rest, or take work where that is 0.
-func (s *statements) asksRest(server string, d time.Duration) {
+// asksRest makes an endpoint refuse requests and ask for a pause, or accept requests if the
+// pause is 0.
+func (s *statements) asksRest(endpoint string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asks[server] = d
+	s.restFor[endpoint] = d
 }
 
-// failsAll makes a server fail what it runs.
-func (s *statements) failsAll(server string) {
+// failsAll makes an endpoint fail all requests that it runs.
+func (s *statements) failsAll(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails[server] = true
+	s.fails[endpoint] = true
 }
 
-// reset drops what an instance was told: it restarts.
+// reset drops what was announced to an instance, which restarts.
 func (s *statements) reset(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	forget := func(p pair) bool { return p.instance == instance }
-	maps.DeleteFunc(s.announcedAt, func(p pair, _ time.Time) bool { return forget(p) })
-	maps.DeleteFunc(s.rests, func(p pair, _ []*rest) bool { return forget(p) })
+	matches := func(p pair) bool { return p.instance == instance }
+	maps.DeleteFunc(s.announcedAt, func(p pair, _ time.Time) bool { return matches(p) })
+	maps.DeleteFunc(s.rests, func(p pair, _ []*restPeriod) bool { return matches(p) })
 }
 
-// arrives takes note of a request at a server, and returns what is wrong with it.
-func (s *statements) arrives(server, id string, bound time.Duration, now time.Time) (bad []string) {
+// arrives checks a request at an endpoint against the endpoint's notices, and returns the
+// violations.
+func (s *statements) arrives(endpoint, id string, bound time.Duration, now time.Time) (bad []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := pairOf(server, id)
-	if told, ok := s.announcedAt[p]; ok && now.Sub(told) > bound {
-		bad = append(bad, fmt.Sprintf("%s reached %s %s after an answer had told that it leaves", id, server, now.Sub(told)))
+	p := pairOf(endpoint, id)
+	if announced, ok := s.announcedAt[p]; ok && now.Sub(announced) > bound {
+		bad = append(bad, fmt.Sprintf("%s reached %s %s after an answer announced that it leaves", id, endpoint, now.Sub(announced)))
 	}
 	for _, r := range s.rests[p] {
-		if now.Sub(r.asked) <= restNotice || !now.Before(r.until) {
+		if now.Sub(r.asked) <= restGrace || !now.Before(r.until) {
 			continue
 		}
-		if r.got++; r.got > restMost {
-			bad = append(bad, fmt.Sprintf("%s reached %s as the %d. in a rest of %s", id, server, r.got, r.until.Sub(r.asked)))
+		if r.requests++; r.requests > maxRestRequests {
+			bad = append(bad, fmt.Sprintf("%s reached %s as request %d in a pause of %s", id, endpoint, r.requests, r.until.Sub(r.asked)))
 		}
 	}
 	return bad
 }
 
-// answer sets the headers of a server's answer. It returns the status of a request that
-// the server turns away or fails, or 0.
-func (s *statements) answer(server, id string, h http.Header, now time.Time) int {
+// answer sets the headers of an endpoint's answer. It returns the status if the endpoint
+// refuses or fails the request, otherwise 0.
+func (s *statements) answer(endpoint, id string, h http.Header, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := pairOf(server, id)
-	if s.leaving[server] {
+	p := pairOf(endpoint, id)
+	if s.leaving[endpoint] {
 		h.Set("Leaving", "1")
 		if _, ok := s.announcedAt[p]; !ok {
 			s.announcedAt[p] = now
 		}
 	}
-	d := s.asks[server]
+	d := s.restFor[endpoint]
 	h.Set("Id", id)
-	if s.fails[server] {
-		h.Set("Seal", "of "+server)
+	if s.fails[endpoint] {
+		h.Set("Seal", "of "+endpoint)
 		return http.StatusInternalServerError
 	}
 	if d == 0 {
@@ -131,11 +135,11 @@
 	}
 	h.Set("Not-Run", "1")
 	h.Set("Rest", d.String())
-	s.rests[p] = append(s.rests[p], &rest{asked: now, until: now.Add(d)})
+	s.rests[p] = append(s.rests[p], &restPeriod{asked: now, until: now.Add(d)})
 	return http.StatusServiceUnavailable
 }
 
-// askAround asks all instances in turn for a while, and returns how many were answered.
+// askAround sends requests to all instances in turn for a time, and returns how many succeeded.
 func (w *world) askAround(tag string, d time.Duration) (answered int) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -154,23 +158,20 @@
 	return answered
 }
 
+// seenBad returns the violations that endpoints saw so far.
 func (w *world) seenBad() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.bad
 }
 
-// Callers saw requests go to an endpoint that had said that it leaves.
-//
-// Order of events: the endpoint says in its answers that it leaves; the store answers
-// nobody, so that its entry says for some ten seconds more that it takes work; instances
-// pass such answers on, and send to the endpoint as before. Cause: an instance went by the
-// entries of the store alone. Evidence: its lines list the endpoint as one that takes work
-// while "server said that it leaves" has listed true.
+// Guards against sending requests to an endpoint whose answers announce that it leaves. While
+// the store is down, the endpoint's entry there is outdated for some ten seconds; an instance
+// that goes by the entries alone keeps sending.
 func TestAServerThatSaysItLeavesGetsNoNewWork(t *testing.T) {
-	for _, nodes := range []int{3, large} {
+	for _, instances := range []int{3, large} {
 		for _, down := range []bool{true, false} {
-			play(t, nodes, func(is *is.I, w *world) {
+			play(t, instances, func(is *is.I, w *world) {
 				time.Sleep(4 * time.Second)
 				if down {
 					for name := range w.nodes {
@@ -180,26 +181,23 @@
 				w.statements.leaves(serverID(0))
 				answered := w.askAround("a", 8*time.Second)
 				is.Equal(len(w.seenBad()), 0)
-				if nodes < large { // of a large fleet some are told late, or never: a third of few requests
+				if instances < large { // in a large fleet some instances see an answer late or never: each sends few requests
 					is.True(w.lastAt(serverID(0)).Before(time.Now().Add(-4 * time.Second)))
 				}
-				is.True(answered >= 150) // the other two serve on, until keys are not honoured any more
+				is.True(answered >= 150) // the other two go on serving until API keys expire
 			}, func(w *world) { w.lenient = true })
 		}
 	}
 }
 
-// Callers saw an endpoint that had asked an instance for rest get request after request
-// from it.
-//
-// Order of events: endpoints of a plain service fail part of their requests; one of them
-// turns work away and says for how long it wants none; the instance counts a failure like
-// the others', and sends on. Cause: nothing read the time that was asked for. Evidence:
-// three requests of one instance in a rest of 3 s, the others' failures between them.
+// Guards against ignoring the pause that an endpoint asks for. Endpoints of a plain service
+// fail some requests; one of them refuses requests and says for how long. An instance that
+// counts this as a failure like the others' keeps sending: three requests of one instance in
+// a pause of 3 s.
 func TestAServerThatAskedForRestGetsNone(t *testing.T) {
-	for _, nodes := range []int{3, large} {
+	for _, instances := range []int{3, large} {
 		for _, failing := range []bool{true, false} {
-			play(t, nodes, func(is *is.I, w *world) {
+			play(t, instances, func(is *is.I, w *world) {
 				w.statements.asksRest(serverID(0), 3*time.Second)
 				for i := 1; failing && i < testServers; i++ {
 					w.statements.failsAll(serverID(i))
@@ -209,16 +207,16 @@
 				is.True(failing || answered >= 280) // of 300: the other two take all
 				w.statements.asksRest(serverID(0), 0)
 				time.Sleep(3 * time.Second)
-				well := time.Now()
+				pauseOverAt := time.Now()
 				w.askAround("b", 12*time.Second)
-				is.True(w.lastAt(serverID(0)).After(well)) // it is used again
+				is.True(w.lastAt(serverID(0)).After(pauseOverAt)) // it gets requests again
 			})
 		}
 	}
 }
 
-// All endpoints ask for rest: they get it, and callers are told at once, by an answer that
-// says when to come back.
+// All endpoints ask for a pause: they get no requests, and clients are answered at once with
+// the time after which to retry.
 func TestAllServersAskForRest(t *testing.T) {
 	play(t, 2, func(is *is.I, w *world) {
 		for i := range testServers {
@@ -234,43 +232,43 @@
 	})
 }
 
-// Servers say that they leave before, after and without the store's word, ask for rests of
-// any length, and take work again, while the store goes away and instances are killed or
-// restart. No server gets work that it said it does not want.
+// Endpoints announce that they leave before, after or without their entry in the store, ask
+// for pauses of any length, and accept requests again, while the store fails and instances are
+// killed or restart. No endpoint gets requests that its notices exclude.
 func TestRandomDaysOfNotices(t *testing.T) {
 	for seed := range uint64(4) {
-		for _, nodes := range []int{3, large} {
-			play(t, nodes, func(is *is.I, w *world) {
+		for _, instances := range []int{3, large} {
+			play(t, instances, func(is *is.I, w *world) {
 				time.Sleep(4 * time.Second)
-				w.randomNotices(rand.New(rand.NewPCG(seed, 17)), nodes)
+				w.randomNotices(rand.New(rand.NewPCG(seed, 17)), instances)
 				is.Equal(len(w.seenBad()), 0)
 			}, func(w *world) { w.lenient = true })
 		}
 	}
 }
 
-// randomNotices plays 30 s of notices and faults.
-func (w *world) randomNotices(rnd *rand.Rand, nodes int) {
+// randomNotices runs 30 s of random notices and faults.
+func (w *world) randomNotices(rnd *rand.Rand, instances int) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for i := range 1500 {
 		time.Sleep(20 * time.Millisecond)
-		name := fmt.Sprint("n", rnd.IntN(nodes))
+		name := fmt.Sprint("n", rnd.IntN(instances))
 		path := []string{"/once/a", "/safe/a"}[rnd.IntN(2)]
 		wait.Go(func() { w.ask(name, path, "k1", fmt.Sprint(name, "/r", i)) })
-		server := rnd.IntN(testServers)
+		endpoint := rnd.IntN(testServers)
 		switch x := rnd.Float64(); {
 		case x < 0.01:
-			w.statements.leaves(serverID(server))
+			w.statements.leaves(serverID(endpoint))
 		case x < 0.015:
-			w.putServer(server, true)
+			w.putServer(endpoint, true)
 		case x < 0.025:
-			w.statements.startsAgain(serverID(server))
-			w.putIncarnation(server, time.Now(), false)
+			w.statements.startsAgain(serverID(endpoint))
+			w.putIncarnation(endpoint, time.Now(), false)
 		case x < 0.05:
-			w.statements.asksRest(serverID(server), time.Duration(rnd.ExpFloat64()*float64(2*time.Second)))
+			w.statements.asksRest(serverID(endpoint), time.Duration(rnd.ExpFloat64()*float64(2*time.Second)))
 		case x < 0.1:
-			w.statements.asksRest(serverID(server), 0)
+			w.statements.asksRest(serverID(endpoint), 0)
 		case x < 0.11:
 			w.fault(storetest.Faults{Down: true}, name)
 		case x < 0.12:
--- a/internal/front/suspectends.go
+++ b/internal/front/suspectends.go
@@ -10,62 +10,63 @@
 	"github.com/shelfcrank/shelfcrank/internal/registry"
 )
 
-// How an instance finds out which servers end, and under which requests.
+// This file detects which endpoints end, and which requests were running on them.
 
-// probeEvery is how often a server is looked at, at the most.
-const probeEvery = 10 * time.Millisecond
+// probeInterval is the minimum time between two probes of an endpoint.
+const probeInterval = 10 * time.Millisecond
 
-// probe is a look whether a server has ended.
+// probe checks whether an endpoint has ended.
 type probe struct {
-	begun time.Time
-	done  chan struct{} // closed when ended is set
-	ended bool
+	startedAt time.Time
+	done      chan struct{} // closed when ended is set
+	ended     bool
 }
 
-// Broke implements forward.Quarantine. Servers that were to end anyhow are not counted:
-// they cut off what ran too long.
-func (s *suspects) Broke(ctx context.Context, server registry.Endpoint, f quarantine.Fingerprint, account string) (ended bool) {
-	if !s.instance.takesWork(server) {
+// Broke implements forward.Quarantine. Endpoints that are leaving are ignored: they end as
+// planned and interrupt the requests that are still running.
+func (s *suspects) Broke(ctx context.Context, endpoint registry.Endpoint, f quarantine.Fingerprint, account string) (ended bool) {
+	if !s.instance.acceptsWork(endpoint) {
 		return false
 	}
 	now := s.instance.Clock.Now()
-	s.cutOff(server, f, account, now)
-	if !s.hasEnded(ctx, server, now) {
+	s.recordInterrupted(endpoint, f, account, now)
+	if !s.hasEnded(ctx, endpoint, now) {
 		return false
 	}
-	s.broadcast(s.table.EndpointEnded(server.ID, s.instance.Clock.Now()))
+	s.broadcast(s.table.EndpointEnded(endpoint.ID, s.instance.Clock.Now()))
 	return true
 }
 
-// cutOff takes note of a run that was cut off.
-func (s *suspects) cutOff(server registry.Endpoint, f quarantine.Fingerprint, account string, at time.Time) {
-	s.broadcast(s.table.Broke(quarantine.Run{Fingerprint: f, Endpoint: server.ID, Name: server.StoreID(), Account: account}, at))
+// recordInterrupted records a run that was interrupted, by the endpoint or by the client.
+func (s *suspects) recordInterrupted(endpoint registry.Endpoint, f quarantine.Fingerprint, account string, at time.Time) {
+	s.broadcast(s.table.Broke(quarantine.Run{Fingerprint: f, Endpoint: endpoint.ID, Name: endpoint.StoreID(), Account: account}, at))
 }
 
-// Left implements forward.Quarantine. Whether the server ends is not looked at: it may do so
-// later, and most do not. The next request that it refuses or its next entry tells.
-func (s *suspects) Left(server registry.Endpoint, f quarantine.Fingerprint, account string) {
-	if s.instance.takesWork(server) {
-		s.cutOff(server, f, account, s.instance.Clock.Now())
+// Left implements forward.Quarantine. The endpoint is not probed: it may end only later, and
+// most endpoints do not. A later connection failure or the endpoint's next entry in the
+// store shows it.
+func (s *suspects) Left(endpoint registry.Endpoint, f quarantine.Fingerprint, account string) {
+	if s.instance.acceptsWork(endpoint) {
+		s.recordInterrupted(endpoint, f, account, s.instance.Clock.Now())
 	}
 }
 
-// takesWork reports whether a server is listed and has not said that it leaves.
-func (n *Instance) takesWork(server registry.Endpoint) bool {
-	_, listed := lo.Find(n.view.Load().Listed, func(s registry.Endpoint) bool { return s.ID == server.ID })
-	return listed && !n.notices.Leaves(&server)
+// acceptsWork reports whether an endpoint is listed and has not announced that it leaves.
+func (n *Instance) acceptsWork(endpoint registry.Endpoint) bool {
+	_, listed := lo.Find(n.view.Load().Listed, func(s registry.Endpoint) bool { return s.ID == endpoint.ID })
+	return listed && !n.notices.Leaves(&endpoint)
 }
 
-// hasEnded looks whether a server has ended that cut a run off at a time. All that it cut
-// off at once share one look.
-func (s *suspects) hasEnded(ctx context.Context, server registry.Endpoint, since time.Time) bool {
+// hasEnded probes whether an endpoint that interrupted a run at the time since has ended.
+// Runs interrupted at about the same time share one probe.
+func (s *suspects) hasEnded(ctx context.Context, endpoint registry.Endpoint, since time.Time) bool {
 	s.mu.Lock()
-	p := s.probes[server.ID]
-	if p == nil || !p.found() && p.begun.Before(since) && s.instance.Clock.Since(p.begun) > probeEvery {
-		p = &probe{begun: s.instance.Clock.Now(), done: make(chan struct{})}
-		s.probes[server.ID] = p
+	p := s.probes[endpoint.ID]
+	if p == nil || !p.foundEnded() && p.startedAt.Before(since) && s.instance.Clock.Since(p.startedAt) > probeInterval {
+		p = &probe{startedAt: s.instance.Clock.Now(), done: make(chan struct{})}
+		s.probes[endpoint.ID] = p
 		go func() {
-			p.ended = s.instance.backends.ProbeEnded(context.WithoutCancel(ctx), server)
+			p.ended = s.instance.backends.ProbeEnded(context.WithoutCancel(ctx), endpoint)
 			close(p.done)
 		}()
 	}
@@ -78,8 +79,8 @@
 	}
 }
 
-// found reports whether the look is over and found that the server has ended.
-func (p *probe) found() bool {
+// foundEnded reports whether the probe has finished and found that the endpoint has ended.
+func (p *probe) foundEnded() bool {
 	select {
 	case <-p.done:
 		return p.ended
@@ -89,18 +90,18 @@
 }
 
 // Unreached implements forward.Quarantine.
-func (s *suspects) Unreached(server registry.Endpoint) {
-	if s.instance.takesWork(server) {
-		s.broadcast(s.table.EndpointEnded(server.ID, s.instance.Clock.Now()))
+func (s *suspects) Unreached(endpoint registry.Endpoint) {
+	if s.instance.acceptsWork(endpoint) {
+		s.broadcast(s.table.EndpointEnded(endpoint.ID, s.instance.Clock.Now()))
 	}
 }
 
 // CameThrough implements forward.Quarantine.
-func (s *suspects) CameThrough(f quarantine.Fingerprint, server registry.Endpoint) {
-	s.broadcast(s.table.CameThrough(f, server.ID, s.instance.Clock.Now()))
+func (s *suspects) CameThrough(f quarantine.Fingerprint, endpoint registry.Endpoint) {
+	s.broadcast(s.table.CameThrough(f, endpoint.ID, s.instance.Clock.Now()))
 }
 
-// endpointChanged takes changes of servers' entries in the store.
+// endpointChanged handles changes of endpoints' entries in the store.
 func (s *suspects) endpointChanged(c registry.Event, now time.Time) {
 	switch c.Change {
 	case registry.Gone:
--- a/internal/front/suspects.go
+++ b/internal/front/suspects.go
@@ -15,35 +15,35 @@
 	"github.com/shelfcrank/shelfcrank/internal/topology"
 )
 
-// Bounds of the suspects.
+// Limits and timeouts for suspect requests.
 const (
-	mostSuspects  = 4096                  // some 1.2 MB
-	permitTimeout = 70 * time.Millisecond // as for an offer; the next one is asked then
-	permitAsked   = 2                     // instances that are asked for a permit
+	maxSuspects      = 4096                  // about 1.2 MB
+	permitTimeout    = 70 * time.Millisecond // then the next candidate is asked
+	permitCandidates = 2                     // instances asked in turn for a permit
 )
 
-// suspects knows the requests under which servers end, and broadcasts them to the other instances. It
-// implements forward.Quarantine.
+// suspects tracks the requests that were running on endpoints when these ended, and shares
+// them with the other instances. It implements forward.Quarantine.
 //
-// What an instance sees goes at once to all that count: to all others in a small fleet, to
-// the hubs in a large one. Hubs pass on to their instances those that may not run freely. One
-// that missed an update, or has started since, is synced when it is next
-// seen. Nothing is sent while no server ends.
+// An instance sends what it sees at once to the peers that track all ends: to all peers in a
+// small fleet, to the hubs in a large one. Hubs forward to their group only the suspects
+// that are restricted. A peer that missed an update or has restarted gets everything when it
+// is next seen. Nothing is sent while no endpoint ends.
 type suspects struct {
-	instance *Instance
-	table    *quarantine.Table
-	permits  *quarantine.Permits
-	kick     chan struct{} // updates are there; has room for one
+	instance      *Instance
+	table         *quarantine.Table
+	permits       *quarantine.Permits
+	updatesQueued chan struct{} // signals sendUpdates; capacity 1
 
 	mu     sync.Mutex
-	probes map[string]*probe     // by id of the incarnation; guarded by mu
-	peers  map[string]*syncState // by name of the instance; guarded by mu
+	probes map[string]*probe     // by id of the endpoint's incarnation; guarded by mu
+	peers  map[string]*syncState // by name of the peer; guarded by mu
 }
 
 func newSuspects(n *Instance) *suspects {
 	return &suspects{
-		instance: n, table: quarantine.New(quarantine.Options{Length: n.Settings.Quarantine(), Most: mostSuspects}),
-		permits: quarantine.NewPermits(), kick: make(chan struct{}, 1), probes: make(map[string]*probe), peers: make(map[string]*syncState),
+		instance: n, table: quarantine.New(quarantine.Options{Length: n.Settings.Quarantine(), Most: maxSuspects}),
+		permits: quarantine.NewPermits(), updatesQueued: make(chan struct{}, 1), probes: make(map[string]*probe), peers: make(map[string]*syncState),
 	}
 }
 
@@ -60,11 +60,14 @@
 	return nil
 }
 
+// refused returns the error for a request that is quarantined until a time; zero if it only
+// could not get a permit.
 func (s *suspects) refused(f quarantine.Fingerprint, until time.Time) error {
 	return &quarantine.RefusedError{Fingerprint: f, Ends: s.table.Ends(f), Until: until}
 }
 
-// Enter implements forward.Quarantine.
+// Enter implements forward.Quarantine. A suspect that may run in one place at a time first
+// needs a permit from the instance that owns its fingerprint.
 func (s *suspects) Enter(ctx context.Context, f quarantine.Fingerprint, until time.Time) (leave func(decided bool), err error) {
 	switch v, end := s.table.Verdict(f, s.instance.Clock.Now()); v {
 	case quarantine.Refused:
@@ -76,12 +79,12 @@
 	for _, owner := range s.owners(f) {
 		granted, err := s.acquire(ctx, owner, f, until)
 		if err != nil {
-			continue // it may be gone
+			continue // the owner may be gone; ask the next one
 		}
 		if !granted {
 			break
 		}
-		if v, end := s.table.Verdict(f, s.instance.Clock.Now()); v == quarantine.Refused { // received while it was asked
+		if v, end := s.table.Verdict(f, s.instance.Clock.Now()); v == quarantine.Refused { // quarantined while the permit was requested
 			s.release(owner, f, true)
 			return nil, s.refused(f, end)
 		}
@@ -90,20 +93,22 @@
 	return nil, s.refused(f, time.Time{})
 }
 
-// owners returns the instances that give the permit for a request, the first of them
-// while it answers: one of all in a small fleet, of the hubs in a large one.
+// owners returns the instances to ask for a permit, in order; the second is asked only if
+// the first does not answer. Rendezvous hashing of the fingerprint picks them from all
+// instances in a small fleet and from the hubs in a large one.
 func (s *suspects) owners(f quarantine.Fingerprint) []topology.Member {
-	all := s.counting()
-	if s.instance.counts() {
+	all := s.peersTrackingEnds()
+	if s.instance.tracksEnds() {
 		all = append(all, s.instance.self())
 	}
 	by := lo.KeyBy(all, func(m topology.Member) string { return m.Name })
 	order := rendezvous.Order(f.Hash(), lo.Keys(by))
-	return lo.Map(order[:min(permitAsked, len(order))], func(name string, _ int) topology.Member { return by[name] })
+	return lo.Map(order[:min(permitCandidates, len(order))], func(name string, _ int) topology.Member { return by[name] })
 }
 
-// counting returns the other instances that learn of all ends of servers.
-func (s *suspects) counting() []topology.Member {
+// peersTrackingEnds returns the peers that are sent all ends of endpoints: all peers in a
+// small fleet, the other hubs in a large one.
+func (s *suspects) peersTrackingEnds() []topology.Member {
 	members := s.instance.state.members
 	if hubs := members.topology().Hubs; len(hubs) > 0 {
 		return lo.Filter(hubs, func(m topology.Member, _ int) bool { return m.Name != s.instance.Settings.Name })
@@ -111,12 +116,13 @@
 	return membersOf(members.list())
 }
 
-// counts reports whether this instance learns of all ends of servers.
-func (n *Instance) counts() bool {
+// tracksEnds reports whether this instance is sent all ends of endpoints.
+func (n *Instance) tracksEnds() bool {
 	t := n.state.members.topology()
 	return len(t.Hubs) == 0 || t.Self
 }
 
+// acquire asks an owner for a permit to run a request until a time.
 func (s *suspects) acquire(ctx context.Context, owner topology.Member, f quarantine.Fingerprint, until time.Time) (bool, error) {
 	now := s.instance.Clock.Now()
 	if owner.Name == s.instance.Settings.Name {
@@ -131,16 +137,17 @@
 	return a.GetPermit().GetGranted(), nil
 }
 
-// permitCall asks for a permit, or says that its run is done, and for how long it counts.
+// permitCall builds the call that acquires a permit, or with done set releases it. left is
+// how long the permit lasts from now; on a release, how long it is still held.
 func permitCall(f quarantine.Fingerprint, left time.Duration, done bool) *peerpb.Call {
 	return &peerpb.Call{Body: &peerpb.Call_Permit{Permit: &peerpb.Permit{
 		Sum: f.Sum[:], Length: int64(f.Length), Left: int64(left), Done: done,
 	}}}
 }
 
-// release gives a permit back. One whose run is not decided is kept until it is: else one
-// run after the other begins while it is not yet known that servers end under each. One that
-// is lost on the way lapses.
+// release gives a permit back. If it is not yet decided whether the run ended its endpoint,
+// the permit is held for quarantine.Undecided: otherwise further runs would start before the
+// ends that they cause are known. If the release is lost, the permit expires.
 func (s *suspects) release(owner topology.Member, f quarantine.Fingerprint, decided bool) {
 	var keep time.Duration
 	if !decided {
@@ -157,11 +164,11 @@
 	}()
 }
 
-// servePermit answers an instance that asks for a permit, or gives it back.
+// servePermit answers a peer that acquires or releases a permit.
 func (s *suspects) servePermit(call *peerpb.Call, answer func(*peerpb.Answer) error) error {
 	q, now := call.GetPermit(), s.instance.Clock.Now()
 	f, ok := wire.Fingerprint(q.Sum, q.Length)
-	left := min(max(0, time.Duration(q.Left)), longestRun)
+	left := min(max(0, time.Duration(q.Left)), maxPermit)
 	granted := false
 	switch {
 	case !ok:
@@ -174,11 +181,12 @@
 	return answer(&peerpb.Answer{Body: &peerpb.Answer_Permit{Permit: &peerpb.PermitAnswer{Granted: granted}}})
 }
 
-// longestRun bounds a permit: no request is allowed more time.
-const longestRun = 10 * time.Minute
+// maxPermit bounds how long a permit lasts; no request may take longer.
+const maxPermit = 10 * time.Minute
 
-// tidy drops what no longer matters.
-func (s *suspects) tidy(wanted func(server string) bool, now time.Time) {
+// expire drops expired suspects and permits, probes of endpoints no longer wanted, and the
+// sync state of peers that left.
+func (s *suspects) tidy(wanted func(endpoint string) bool, now time.Time) {
 	s.table.Expire(now)
 	s.permits.Expire(now)
 	s.mu.Lock()
--- a/internal/front/suspectsapi.go
+++ b/internal/front/suspectsapi.go
@@ -13,19 +13,19 @@
 	"github.com/shelfcrank/shelfcrank/internal/quarantine"
 )
 
-// QuarantinePath is where an instance's metrics address lists the requests under which
-// servers ended; DELETE of a fingerprint below it lifts a quarantine. The address is for
-// operators only.
+// QuarantinePath is the path, on an instance's metrics address, that lists the requests
+// under which endpoints ended. DELETE of a fingerprint below it lifts a quarantine. Only
+// operators reach this address.
 const QuarantinePath = "/quarantine"
 
-// SuspectStatus is a request under which servers ended, as operators see it.
+// SuspectStatus describes to operators a request under which endpoints ended.
 type SuspectStatus struct {
 	Fingerprint string               `json:"fingerprint"`
 	Account     string               `json:"account,omitempty"`
-	Ends        map[string]time.Time `json:"ends"`                 // when servers ended under it, by id
-	Until       *time.Time           `json:"until,omitempty"`      // until when it does not run
-	Strikes     int                  `json:"strikes,omitempty"`    // how often it was quarantined
-	ClearedAt   *time.Time           `json:"cleared_at,omitempty"` // when it last came through, or was lifted
+	Ends        map[string]time.Time `json:"ends"`                 // when endpoints ended under it, by id
+	Until       *time.Time           `json:"until,omitempty"`      // end of the quarantine
+	Strikes     int                  `json:"strikes,omitempty"`    // number of times it was quarantined
+	ClearedAt   *time.Time           `json:"cleared_at,omitempty"` // when it last completed, or an operator lifted its quarantine
 }
 
 func suspectStatus(s *quarantine.Suspect) SuspectStatus {
@@ -39,7 +39,7 @@
 	return out
 }
 
-// serveList lists the suspects, by fingerprint.
+// serveList lists the suspects, sorted by fingerprint.
 func (s *suspects) serveList(w http.ResponseWriter, _ *http.Request) {
 	out := []SuspectStatus{}
 	for _, x := range s.table.Suspects(true, s.instance.Clock.Now()) {
@@ -47,14 +47,14 @@
 	}
 	slices.SortFunc(out, func(a, b SuspectStatus) int { return strings.Compare(a.Fingerprint, b.Fingerprint) })
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // an operator that left reads nothing
+	_ = json.NewEncoder(w).Encode(out) // the client may have disconnected
 }
 
-// serveLift lifts a quarantine, here and at all instances.
+// serveLift lifts a quarantine on all instances. A unique prefix of the fingerprint is enough.
 func (s *suspects) serveLift(w http.ResponseWriter, r *http.Request) {
 	x, ok := s.table.Find(r.PathValue("fingerprint"))
 	if !ok {
-		http.Error(w, "no suspect has this fingerprint, or several do", http.StatusNotFound)
+		http.Error(w, "no suspect, or more than one, matches this fingerprint", http.StatusNotFound)
 		return
 	}
 	s.instance.event(event.QuarantineLifted, zap.Stringer("fingerprint", x.Fingerprint), zap.String("account", x.Account))
--- a/internal/front/suspectsync.go
+++ b/internal/front/suspectsync.go
@@ -15,22 +15,22 @@
 	"github.com/shelfcrank/shelfcrank/internal/topology"
 )
 
-// How instances exchange suspects.
+// This file exchanges suspects between instances.
 
 // Times of updates.
 const (
-	suspectTimeout = 400 * time.Millisecond // for an update to arrive
-	syncInterval   = time.Second            // between two attempts to send everything to an instance that does not answer
+	suspectTimeout = 400 * time.Millisecond // for one call
+	syncInterval   = time.Second            // between two attempts to send everything to a peer
 )
 
-// syncState is what was sent to another instance.
+// syncState tracks what a peer was sent.
 type syncState struct {
-	incarnation int64     // its newest; one that starts knows nothing
-	pending     bool      // something did not reach it
-	triedAt     time.Time // when everything was last sent, or tried to be
+	incarnation int64     // of the peer; a new incarnation knows no suspects
+	pending     bool      // an update did not reach it
+	triedAt     time.Time // when sending everything was last attempted
 }
 
-// broadcast logs changes and has them sent to the other instances.
+// broadcast logs changes and triggers sendUpdates.
 func (s *suspects) broadcast(changes []quarantine.Change) {
 	for _, c := range changes {
 		s.log(c)
@@ -39,7 +39,7 @@
 		return
 	}
 	select {
-	case s.kick <- struct{}{}:
+	case s.updatesQueued <- struct{}{}:
 	default:
 	}
 }
@@ -57,32 +57,32 @@
 	}
 }
 
-// apply takes the update of another instance. The first end that it saw of a request is not
-// logged here: all that ran on a server that ended has one.
-func (s *suspects) apply(news []*peerpb.Suspect) {
+// apply applies an update from a peer. The first end of a request is not logged: every
+// request that was running on an ended endpoint has one.
+func (s *suspects) apply(updates []*peerpb.Suspect) {
 	now := s.instance.Clock.Now()
-	changes := s.table.Apply(wire.Decode(news, now), now)
+	changes := s.table.Apply(wire.Decode(updates, now), now)
 	s.broadcast(lo.Filter(changes, func(c quarantine.Change, _ int) bool {
 		return c.Kind != quarantine.EndSeen || len(c.Suspect.Ends) > 1
 	}))
 }
 
-// sendUpdates sends updates to the other instances as soon as there are any.
+// sendUpdates sends updates to peers, and as a hub to its group, whenever there are any.
 func (s *suspects) sendUpdates(ctx context.Context) error {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	for kicked(ctx, s.kick) {
-		own, heard := s.table.Updates()
+	for kicked(ctx, s.updatesQueued) {
+		own, received := s.table.Updates()
 		now := s.instance.Clock.Now()
-		s.send(ctx, &wait, s.counting(), own, now)
-		concerning := lo.Filter(append(own, heard...), func(x quarantine.Suspect, _ int) bool { return x.Concerns(now) })
-		s.send(ctx, &wait, s.instance.group(now), concerning, now)
+		s.send(ctx, &wait, s.peersTrackingEnds(), own, now)
+		concerning := lo.Filter(append(own, received...), func(x quarantine.Suspect, _ int) bool { return x.Concerns(now) })
+		s.send(ctx, &wait, s.instance.groupMembers(now), concerning, now)
 	}
 	return ctx.Err()
 }
 
-// met notes that an instance was seen, and sends it everything if it has started since it
-// was last synced, or missed an update.
+// syncPeer is called when a peer is seen. It sends the peer all suspects if the peer has
+// restarted since it was last synced, or missed an update.
 func (s *suspects) met(name string, incarnation int64) {
 	now := s.instance.Clock.Now()
 	if !s.needsSync(name, incarnation, now) {
@@ -90,18 +90,18 @@
 	}
 	to, listed := lo.Find(s.instance.state.members.list(), func(m member) bool { return m.Name == name })
 	if !listed {
-		return // it is synced once its address is known
+		return // synced once its address is known
 	}
 	s.mu.Lock()
 	b := s.syncStateOf(name)
 	b.pending, b.triedAt = false, now
 	s.mu.Unlock()
-	if all := s.table.Suspects(s.receivesAll(name), now); len(all) > 0 {
-		go s.sendOnce(context.Background(), to.Member, wire.Encode(all, now))
+	if all := s.table.Suspects(s.peerTracksEnds(name), now); len(all) > 0 {
+		go s.sendTo(context.Background(), to.Member, wire.Encode(all, now))
 	}
 }
 
-// needsSync reports whether everything has to be sent to an instance now.
+// needsSync reports whether all suspects have to be sent to a peer now.
 func (s *suspects) needsSync(name string, incarnation int64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	return b.pending && now.Sub(b.triedAt) >= syncInterval
 }
 
-// syncStateOf returns what was sent to an instance. s.mu is held.
+// syncStateOf returns the sync state of a peer. The caller holds s.mu.
 func (s *suspects) syncStateOf(name string) *syncState {
 	b := s.peers[name]
 	if b == nil {
@@ -122,14 +122,14 @@
 	return b
 }
 
-// receivesAll reports whether an instance learns of all ends of servers.
-func (s *suspects) receivesAll(name string) bool {
+// peerTracksEnds reports whether a peer is sent all ends of endpoints; see tracksEnds.
+func (s *suspects) peerTracksEnds(name string) bool {
 	hubs := s.instance.state.members.topology()
 	return len(hubs.Hubs) == 0 || hubs.Named(name).Name == name
 }
 
-// group returns the instances that report to this one, if it is a hub.
-func (n *Instance) group(now time.Time) []topology.Member {
+// groupMembers returns the instances that report to this one; none unless it is a hub.
+func (n *Instance) groupMembers(now time.Time) []topology.Member {
 	if !n.state.members.topology().Self {
 		return nil
 	}
@@ -140,22 +140,22 @@
 	})
 }
 
-// send sends updates to some instances, and does not wait for them.
-func (s *suspects) send(ctx context.Context, wait *sync.WaitGroup, to []topology.Member, news []quarantine.Suspect, now time.Time) {
-	if len(news) == 0 {
+// send sends updates to peers in the background; wait tracks the calls.
+func (s *suspects) send(ctx context.Context, wait *sync.WaitGroup, to []topology.Member, updates []quarantine.Suspect, now time.Time) {
+	if len(updates) == 0 {
 		return
 	}
-	messages := wire.Encode(news, now)
+	messages := wire.Encode(updates, now)
 	for _, m := range to {
-		wait.Go(func() { s.sendOnce(ctx, m, messages) })
+		wait.Go(func() { s.sendTo(ctx, m, messages) })
 	}
 }
 
-// sendOnce sends updates to an instance. What does not reach it is pending.
-func (s *suspects) sendOnce(ctx context.Context, to topology.Member, news []*peerpb.Suspect) {
+// sendTo sends updates to a peer, and marks it as pending if the call fails.
+func (s *suspects) sendTo(ctx context.Context, to topology.Member, updates []*peerpb.Suspect) {
 	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
 	defer cancel()
-	call := &peerpb.Call{Body: &peerpb.Call_Suspects{Suspects: &peerpb.Suspects{Suspects: news}}}
+	call := &peerpb.Call{Body: &peerpb.Call_Suspects{Suspects: &peerpb.Suspects{Suspects: updates}}}
 	if _, err := s.instance.peers.Call(ctx, to.Addr, call); err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/front/usagereport.go
+++ b/internal/front/usagereport.go
@@ -16,123 +16,125 @@
 	"github.com/shelfcrank/shelfcrank/internal/usage"
 )
 
-// usageReporter reports, while its instance acts for all, how many requests began to run in
-// each window. The counts of a window are settled in the store first, so that whoever acts next
-// reports exactly the same. It belongs to one goroutine.
+// usageReporter reports to the platform, while its instance is the leader, how many requests
+// began to run in each window. The counts of a window are first settled: written to the store
+// once, so that a later leader reports exactly the same. It belongs to one goroutine.
 type usageReporter struct {
 	*Instance
-	holder  duty.Token
-	next    int64                  // window to report
-	settled map[int64]usage.Counts // that may have been reported
-	era     int64                  // of the store
-	eraAt   time.Time              // when that was first seen by any instance, of the day; zero for the first era
-	entered bool                   // eraAt is known, and what is settled is in the store
+	lastToken  duty.Token             // of the term that nextWindow belongs to
+	nextWindow int64                  // next window to report
+	settled    map[int64]usage.Counts // by window; may already have been reported
+	era        int64                  // of the store; increases with each restore from a backup
+	eraAt      time.Time              // time of day at which any instance first saw the era; zero for the first era
+	eraEntered bool                   // eraAt is known, and the settled counts were rewritten in this era
 }
 
 // reportUsage runs the reporter until ctx ends.
 func (n *Instance) reportUsage(ctx context.Context) error {
-	r := &usageReporter{Instance: n, settled: make(map[int64]usage.Counts), next: n.usageWindow(), entered: true}
-	for n.Clock.Sleep(ctx, usageLook) {
-		r.look(ctx)
+	r := &usageReporter{Instance: n, settled: make(map[int64]usage.Counts), nextWindow: n.usageWindow(), eraEntered: true}
+	for n.Clock.Sleep(ctx, usagePollInterval) {
+		r.poll(ctx)
 	}
 	return ctx.Err()
 }
 
-// usageWindow returns the window that is open now.
+// usageWindow returns the number of the current window.
 func (n *Instance) usageWindow() int64 {
 	return usage.WindowOf(n.walltime.At(n.Clock.Now()), n.Settings.Bounds.UsageWindow())
 }
 
-// look reports the next window if it is due.
-func (r *usageReporter) look(ctx context.Context) {
+// poll enters a new era of the store if there is one, and reports the next window if it is due.
+func (r *usageReporter) poll(ctx context.Context) {
 	current, behind := r.usageWindow(), r.usageBehind()
 	maps.DeleteFunc(r.settled, func(w int64, _ usage.Counts) bool { return w < current-2*behind })
 	now := r.Clock.Now()
 	if era := r.Store.Era(); era != r.era {
-		r.era, r.eraAt, r.entered = era, r.walltime.At(now), false
+		r.era, r.eraAt, r.eraEntered = era, r.walltime.At(now), false
 	}
-	if !r.entered {
-		if r.enter(ctx) != nil {
+	if !r.eraEntered {
+		if r.enterEra(ctx) != nil {
 			return
 		}
-		r.entered = true
+		r.eraEntered = true
 	}
 	token, _, ok := r.elector.Token(now)
 	if !ok || r.view.Load().Config == nil {
 		return
 	}
-	if token != r.holder {
-		if !r.recallUsage(ctx) {
+	if token != r.lastToken {
+		if !r.restoreOpenUsage(ctx) {
 			return
 		}
-		r.holder, r.next = token, current-behind
+		r.lastToken, r.nextWindow = token, current-behind
 	}
-	if r.next < current-behind {
-		r.event(event.UsageMissed, zap.Int64("window", r.next))
-		r.next = current - behind
+	if r.nextWindow < current-behind {
+		r.event(event.UsageMissed, zap.Int64("window", r.nextWindow))
+		r.nextWindow = current - behind
 	}
-	if !r.walltime.At(now).Before(r.due(r.next)) && r.report(ctx, r.next) {
-		r.next++
+	if !r.walltime.At(now).Before(r.dueAt(r.nextWindow)) && r.report(ctx, r.nextWindow) {
+		r.nextWindow++
 	}
 }
 
-// due returns when a window may be settled, of the day.
-func (r *usageReporter) due(window int64) time.Time {
-	return usage.End(window, r.Settings.Bounds.UsageWindow()).Add(usageSettles + r.propagation())
+// dueAt returns the time of day from which a window may be settled.
+func (r *usageReporter) dueAt(window int64) time.Time {
+	return usage.End(window, r.Settings.Bounds.UsageWindow()).Add(usageSettleDelay + r.propagation())
 }
 
-// eraMark is kept in the store: when an era was first seen.
-type eraMark struct {
+// eraRecord is stored under keyEra: when an era was first seen.
+type eraRecord struct {
 	Era int64
-	At  time.Time // of the day
+	At  time.Time // time of day
 }
 
-// enter writes the settled counts again in a new era of the store, whoever acts now, and finds
-// out when the era began at the latest.
-func (r *usageReporter) enter(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, orderTimeout)
+// enterEra rewrites the settled counts to the store after a restore, which may have lost
+// them, and records when the new era was first seen. All instances do so, not only the
+// leader.
+func (r *usageReporter) enterEra(ctx context.Context) error {
+	call, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 	defer cancel()
-	if err := r.mark(call); err != nil {
+	if err := r.recordEra(call); err != nil {
 		return err
 	}
 	for window, counts := range r.settled {
 		value, err := json.Marshal(counts)
 		if err != nil {
-			return fmt.Errorf("encode counts: %w", err)
+			return fmt.Errorf("encode usage counts: %w", err)
 		}
 		key := r.usageKey(window)
 		_, err = r.Store.Do(call, store.Txn{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: value}}})
-		if err != nil && !errors.Is(err, store.ErrConflict) { // what is there is the same
-			return fmt.Errorf("write counts again: %w", err)
+		if err != nil && !errors.Is(err, store.ErrConflict) { // already there, with the same counts
+			return fmt.Errorf("rewrite settled usage counts: %w", err)
 		}
 	}
 	return nil
 }
 
-// mark reads when the era was first seen, or writes it.
-func (r *usageReporter) mark(ctx context.Context) error {
+// recordEra reads from the store when the era was first seen, or writes it if no instance has
+// done so yet.
+func (r *usageReporter) recordEra(ctx context.Context) error {
 	key := r.Decoder.OwnPrefix() + keyEra
 	item, _, err := r.Store.Get(ctx, key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	var known eraMark
+	var known eraRecord
 	if err == nil && json.Unmarshal(item.Value, &known) == nil && known.Era == r.era {
 		r.eraAt = known.At
 		r.state.send(eraMarked{r.era, r.eraAt})
 		return nil
 	}
-	value, err := json.Marshal(eraMark{r.era, r.eraAt})
+	value, err := json.Marshal(eraRecord{r.era, r.eraAt})
 	if err != nil {
-		return fmt.Errorf("encode the era: %w", err)
+		return fmt.Errorf("encode store era: %w", err)
 	}
 	_, err = r.Store.Do(ctx, store.Txn{Put: []store.Put{{Key: key, Value: value}}})
 	return err
 }
 
-// report reports one window, and says whether it is done with.
+// report reports one window, and returns whether the window is finished.
 func (r *usageReporter) report(ctx context.Context, window int64) bool {
-	call, cancel, token, ok := r.acting(ctx)
+	call, cancel, token, ok := r.leaderContext(ctx)
 	if !ok {
 		return false
 	}
@@ -156,17 +158,18 @@
 	return true
 }
 
-// errUsageLost says that the counts of a window may have been reported, and are not known.
-var errUsageLost = errors.New("the store lost the counts of a window that may have been reported")
+// errUsageLost is returned for a window whose settled counts a restore of the store lost.
+// They may have been reported already, so that counting anew could report other figures.
+var errUsageLost = errors.New("settled usage counts lost in a store restore; the window may have been reported already")
 
-// settle returns the counts of a window as an earlier holder settled them, or writes them to
-// the store. Those of a window that an earlier holder may have settled before the store was
-// restored are not counted anew.
+// settle returns the counts of a window as an earlier leader settled them; if there are none,
+// it counts and writes them to the store. A window that may have been settled before the
+// store was restored is not counted anew.
 func (r *usageReporter) settle(ctx context.Context, token duty.Token, window int64) (usage.Counts, error) {
 	if counts, ok := r.settled[window]; ok {
 		return counts, nil
 	}
-	if !r.eraAt.IsZero() && !r.due(window).After(r.eraAt) {
+	if !r.eraAt.IsZero() && !r.dueAt(window).After(r.eraAt) {
 		item, _, err := r.Store.Get(ctx, r.usageKey(window))
 		if errors.Is(err, store.ErrNotFound) {
 			return nil, errUsageLost
@@ -174,7 +177,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return r.keep(window, item.Value)
+		return r.cacheSettled(window, item.Value)
 	}
 	var accounts []string
 	for _, c := range r.view.Load().Config.Accounts {
@@ -183,7 +186,7 @@
 	counts := r.admission.sum(window, accounts)
 	value, err := json.Marshal(counts)
 	if err != nil {
-		return nil, fmt.Errorf("encode counts: %w", err)
+		return nil, fmt.Errorf("encode usage counts: %w", err)
 	}
 	key := r.usageKey(window)
 	_, err = r.Store.Do(ctx, store.Txn{
@@ -197,21 +200,21 @@
 	}
 	var conflict *store.Conflict
 	if !errors.As(err, &conflict) {
-		return nil, err // it may have been written: the next look finds it
+		return nil, err // it may have been written: the next poll finds out
 	}
 	for _, item := range conflict.Items {
 		if item.Key == key && item.Revision != 0 {
-			return r.keep(window, item.Value)
+			return r.cacheSettled(window, item.Value)
 		}
 	}
 	return nil, err
 }
 
-// keep decodes counts that are in the store, and remembers them.
-func (r *usageReporter) keep(window int64, value []byte) (usage.Counts, error) {
+// cacheSettled decodes settled counts read from the store, and adds them to r.settled.
+func (r *usageReporter) cacheSettled(window int64, value []byte) (usage.Counts, error) {
 	var counts usage.Counts
 	if err := json.Unmarshal(value, &counts); err != nil {
-		return nil, fmt.Errorf("decode counts: %w", err)
+		return nil, fmt.Errorf("decode usage counts: %w", err)
 	}
 	r.settled[window] = counts
 	return counts, nil
