--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -1,5 +1,8 @@
-// Package hub answers the instances of a large fleet that read the store through one that
-// follows it: what changed since they last asked, with the age of its last proof.
+// Package hub lets a few instances of a large fleet, the hubs, read the store on behalf of all.
+//
+// The other instances long-poll a hub for what changed in the store since their last request. An
+// answer carries the age of the hub's last proof: its last read that showed which revision of the
+// configuration is the newest.
 //
 // Mirror is safe for concurrent use.
 package hub
@@ -23,63 +26,64 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Times of a hub's answers.
+// Limits of a hub's answers.
 const (
-	Wait  = 400 * time.Millisecond  // that a question is held if nothing has changed
-	Stale = 1800 * time.Millisecond // after its last proof a hub is not to be relied on
+	Wait  = 400 * time.Millisecond  // how long a request is held open while nothing changes
+	Stale = 1800 * time.Millisecond // a hub whose last proof is older does not answer requests
 )
 
-// Mirror is what an instance that reads the store keeps for those that ask it.
+// Mirror answers requests of other instances from this instance's replicas of the store.
 type Mirror struct {
 	clock                           *clock.Clock
-	Operators, Endpoints, Instances *mirror.Copy // of what the operators wrote, the servers' and the nodes' entries
+	Operators, Endpoints, Instances *mirror.Copy // of the operators' keys (configuration and roll-out orders), the endpoints' and the instances' entries
 	configKey                       string
 
-	mu       sync.Mutex
-	items    []store.Item            // what the operators wrote, as last read; guarded by mu
-	provedAt time.Time               // when that read was sent; guarded by mu
-	packed   []byte                  // a configuration compressed; guarded by mu
-	packedAt store.Revision          // its revision; guarded by mu
-	parts    map[partKey]*packedPart // guarded by mu
+	mu             sync.Mutex
+	provedItems    []store.Item            // all keys of the operators, as last read; guarded by mu
+	provedAt       time.Time               // when the request of that read was sent; guarded by mu
+	packedConfig   []byte                  // the configuration that was compressed last; guarded by mu
+	packedRevision store.Revision          // revision of packedConfig; guarded by mu
+	packedParts    map[partKey]*packedPart // guarded by mu
 }
 
-// partKey names what an instance that asks does not know yet.
+// partKey identifies the changes of a replica between two revisions.
 type partKey struct {
-	of        *mirror.Copy
+	replica   *mirror.Copy
 	after, at store.Revision
 }
 
-// packedPart is a part compressed for all that ask for the same.
+// packedPart is a compressed part, cached for all requests with the same partKey.
 type packedPart struct {
-	bytes []byte
-	until time.Time // when it is dropped
+	packed []byte
+	dropAt time.Time // when it leaves the cache
 }
 
-// NotProved is the age of a proof where there is none: a watch told of the
-// configuration.
+// NoProof stands for the proof age of a configuration that a watch reported and no read has
+// confirmed yet.
 const NotProved = -1
 
-// New returns a mirror that knows nothing yet, of a store whose configuration is at a key.
+// New returns a mirror whose replicas are empty. The store holds the configuration under configKey.
 func New(configKey string, c *clock.Clock) *Mirror {
-	return &Mirror{configKey: configKey, clock: c, parts: make(map[partKey]*packedPart), Operators: mirror.New(), Endpoints: mirror.New(), Instances: mirror.New()}
+	return &Mirror{configKey: configKey, clock: c, packedParts: make(map[partKey]*packedPart), Operators: mirror.New(), Endpoints: mirror.New(), Instances: mirror.New()}
 }
 
-// Proved notes a read of what the operators wrote.
+// RecordProof records the result of a read of all keys of the operators, whose request was sent at
+// the given time. It ignores results of reads that are older than the last one recorded.
 func (h *Mirror) Proved(items []store.Item, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !sent.After(h.provedAt) {
 		return
 	}
-	h.items, h.provedAt = items, sent
+	h.provedItems, h.provedAt = items, sent
 }
 
-// newest returns the configuration, when it was proved to be the newest, and the orders
-// of roll-outs.
-func (h *Mirror) newest() (config store.Item, provedAt time.Time, orders []store.Item) {
+// lastRead returns the configuration and the roll-out orders of the last recorded read, and when
+// the request of that read was sent.
+func (h *Mirror) lastRead() (config store.Item, provedAt time.Time, orders []store.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, item := range h.items {
+	for _, item := range h.provedItems {
 		if item.Key == h.configKey {
 			config = item
 		} else {
@@ -89,29 +93,31 @@
 	return config, h.provedAt, orders
 }
 
-// ErrUnknown says that an instance does not read the store, or cannot reach it.
-var ErrUnknown = errors.New("this instance does not know what is in the store")
+// ErrNotCurrent is returned to a request when this instance does not read the store or has had no
+// recent proof.
+var ErrUnknown = errors.New("this instance has no current copy of the store")
 
-// SaysUnknown reports whether an instance that was asked answered with ErrUnknown.
+// IsNotCurrent reports whether err is the ErrNotCurrent of another instance.
 func SaysUnknown(err error) bool {
 	var f *fault.Error
 	return errors.As(err, &f) && f.Step == fault.StepPeer && f.Kind == fault.KindNotFound
 }
 
-// Answer returns what an instance does not have yet, at once if there is anything.
+// Answer returns what changed since the revisions in the request q. It returns at once if anything
+// did, else with the first change or after LongPollWait.
 func (h *Mirror) Answer(ctx context.Context, q *peerpb.Mirror) (*peerpb.MirrorAnswer, error) {
-	late := time.NewTimer(Wait)
-	defer late.Stop()
+	timeout := time.NewTimer(Wait)
+	defer timeout.Stop()
 	for waited := false; ; {
 		changes := []<-chan struct{}{h.Operators.Changed(), h.Endpoints.Changed(), h.Instances.Changed()}
-		a, changed, err := h.look(q, h.clock.Now())
+		a, changed, err := h.buildAnswer(q, h.clock.Now())
 		if err != nil || changed || waited {
 			return a, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-late.C:
+		case <-timeout.C:
 			waited = true
 		case <-changes[0]:
 		case <-changes[1]:
@@ -120,26 +126,27 @@
 	}
 }
 
-// Knows reports whether this instance can answer others.
+// Ready reports whether this instance can answer requests.
 func (h *Mirror) Knows(now time.Time) bool {
-	_, _, err := h.look(&peerpb.Mirror{Config: math.MaxInt64, Servers: math.MaxInt64, Nodes: math.MaxInt64}, now)
+	_, _, err := h.buildAnswer(&peerpb.Mirror{Config: math.MaxInt64, Servers: math.MaxInt64, Nodes: math.MaxInt64}, now)
 	return err == nil
 }
 
-// look makes an answer, and reports whether anything in it has changed.
-func (h *Mirror) look(q *peerpb.Mirror, now time.Time) (*peerpb.MirrorAnswer, bool, error) {
-	servers, known := h.Endpoints.Since(store.Revision(q.Servers))
-	nodes, alsoKnown := h.Instances.Since(store.Revision(q.Nodes))
-	item, provedAt, orders := h.newest()
-	if !known || !alsoKnown || now.Sub(provedAt) > Stale {
+// buildAnswer returns an answer to q, and reports whether it holds any change. It returns
+// ErrNotCurrent if a replica has had no listing yet or the last proof is older than MaxProofAge.
+func (h *Mirror) buildAnswer(q *peerpb.Mirror, now time.Time) (*peerpb.MirrorAnswer, bool, error) {
+	endpoints, endpointsListed := h.Endpoints.Since(store.Revision(q.Servers))
+	instances, instancesListed := h.Instances.Since(store.Revision(q.Nodes))
+	item, provedAt, orders := h.lastRead()
+	if !endpointsListed || !instancesListed || now.Sub(provedAt) > Stale {
 		return nil, false, ErrUnknown
 	}
 	a := &peerpb.MirrorAnswer{
 		ProofAge: int64(now.Sub(provedAt)), ConfigRevision: int64(item.Revision),
-		Servers: h.part(h.Endpoints, store.Revision(q.Servers), servers, q.Unpacks, now), Nodes: h.part(h.Instances, store.Revision(q.Nodes), nodes, q.Unpacks, now),
+		Servers: h.partFor(h.Endpoints, store.Revision(q.Servers), endpoints, q.Unpacks, now), Nodes: h.partFor(h.Instances, store.Revision(q.Nodes), instances, q.Unpacks, now),
 	}
 	if watched, ok := h.Operators.Since(0); ok {
-		for _, e := range watched.Events { // a watch may know before the next read
+		for _, e := range watched.Events { // a watch may report a change before the next read does
 			switch {
 			case e.Gone:
 			case e.Key != h.configKey:
@@ -151,59 +158,61 @@
 	}
 	for _, order := range orders {
 		if order.Revision > store.Revision(q.Orders) {
-			a.Orders = append(a.Orders, mirrorItem(store.Event{Item: order}))
+			a.Orders = append(a.Orders, encodeItem(store.Event{Item: order}))
 		}
 	}
 	if item.Revision > store.Revision(q.Config) {
-		a.PackedConfig = h.pack(item)
+		a.PackedConfig = h.packConfig(item)
 	}
-	changed := len(a.PackedConfig) > 0 || len(a.Orders) > 0 || len(servers.Events)+len(nodes.Events) > 0 || servers.Whole || nodes.Whole
+	changed := len(a.PackedConfig) > 0 || len(a.Orders) > 0 || len(endpoints.Events)+len(instances.Events) > 0 || endpoints.Whole || instances.Whole
 	return a, changed, nil
 }
 
-// pack returns a configuration compressed. It is compressed once for all that ask.
-func (h *Mirror) pack(item store.Item) []byte {
+// packConfig compresses a configuration. The result is cached, so that each revision is compressed
+// once for all requests.
+func (h *Mirror) packConfig(item store.Item) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.packedAt != item.Revision {
-		h.packed, h.packedAt = mirror.Pack(item.Value), item.Revision
+	if h.packedRevision != item.Revision {
+		h.packedConfig, h.packedRevision = mirror.Pack(item.Value), item.Revision
 	}
-	return h.packed
+	return h.packedConfig
 }
 
-// When parts are packed.
+// Limits of the compression of parts.
 const (
-	packFrom = 16              // items; fewer are not worth it
-	packFor  = 2 * time.Second // instances that start together ask for the same
+	minPackedItems = 16              // parts with fewer items are sent uncompressed
+	packedLifetime = 2 * time.Second // instances that start together request the same part
 )
 
-// part returns what changed in a copy, packed if the caller reads that and it is much. It is
-// packed once for all that ask for the same, which keeps the links of hubs free while a
-// large fleet starts.
-func (h *Mirror) part(of *mirror.Copy, after store.Revision, c mirror.Change, unpacks bool, now time.Time) *peerpb.MirrorPart {
-	if !unpacks || len(c.Events) < packFrom {
-		return mirrorPart(c)
+// partFor encodes the change c of a replica since the revision after. A part of at least
+// minPackedItems items is compressed if the caller can unpack it (unpacks). The compressed form is
+// cached for requests with the same revisions, which saves the hub's bandwidth and processor time
+// while a large fleet starts.
+func (h *Mirror) partFor(replica *mirror.Copy, after store.Revision, c mirror.Change, unpacks bool, now time.Time) *peerpb.MirrorPart {
+	if !unpacks || len(c.Events) < minPackedItems {
+		return encodePart(c)
 	}
 	if c.Whole {
-		after = 0 // all that are far behind get the same
+		after = 0 // a snapshot does not depend on the caller's revision
 	}
-	key := partKey{of, after, c.At}
+	key := partKey{replica, after, c.At}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	maps.DeleteFunc(h.parts, func(_ partKey, p *packedPart) bool { return now.After(p.until) })
-	p := h.parts[key]
+	maps.DeleteFunc(h.packedParts, func(_ partKey, p *packedPart) bool { return now.After(p.dropAt) })
+	p := h.packedParts[key]
 	if p == nil {
-		items, err := proto.Marshal(&peerpb.MirrorPart{Items: mirrorPart(c).Items})
+		items, err := proto.Marshal(&peerpb.MirrorPart{Items: encodePart(c).Items})
 		if err != nil {
-			return mirrorPart(c) // as text that is not UTF-8 in a key
+			return encodePart(c) // a key that is not UTF-8 cannot be marshalled
 		}
-		p = &packedPart{mirror.Pack(items), now.Add(packFor)}
-		h.parts[key] = p
+		p = &packedPart{mirror.Pack(items), now.Add(packedLifetime)}
+		h.packedParts[key] = p
 	}
-	return &peerpb.MirrorPart{Whole: c.Whole, At: int64(c.At), Packed: p.bytes}
+	return &peerpb.MirrorPart{Whole: c.Whole, At: int64(c.At), Packed: p.packed}
 }
 
-// Unpack reverses part.
+// UnpackPart replaces the compressed items of a part, if it has any, by the items themselves.
 func Unpack(p *peerpb.MirrorPart) error {
 	if len(p.GetPacked()) == 0 {
 		return nil
@@ -214,30 +223,32 @@
 	}
 	var items peerpb.MirrorPart
 	if err := proto.Unmarshal(b, &items); err != nil {
-		return fmt.Errorf("packed entries: %w", err)
+		return fmt.Errorf("decode packed entries: %w", err)
 	}
 	p.Items, p.Packed = items.Items, nil
 	return nil
 }
 
-func mirrorPart(c mirror.Change) *peerpb.MirrorPart {
+// encodePart encodes a change without compressing it.
+func encodePart(c mirror.Change) *peerpb.MirrorPart {
 	return &peerpb.MirrorPart{Whole: c.Whole, At: int64(c.At), Items: lo.Map(c.Events, func(e store.Event, _ int) *peerpb.MirrorItem {
-		return mirrorItem(e)
+		return encodeItem(e)
 	})}
 }
 
-func mirrorItem(e store.Event) *peerpb.MirrorItem {
+// encodeItem encodes one event.
+func encodeItem(e store.Event) *peerpb.MirrorItem {
 	return &peerpb.MirrorItem{Key: e.Key, Value: e.Value, Revision: int64(e.Revision), Gone: e.Gone}
 }
 
-// Events returns the changes of an unpacked part.
+// DecodeEvents returns the changes in a part that is not compressed. It reverses encodePart.
 func Events(p *peerpb.MirrorPart) []store.Event {
 	return lo.Map(p.GetItems(), func(i *peerpb.MirrorItem, _ int) store.Event {
 		return store.Event{Item: store.Item{Key: i.Key, Value: i.Value, Revision: store.Revision(i.Revision)}, Gone: i.Gone}
 	})
 }
 
-// Items returns the items of events.
+// Items returns the item of each event.
 func Items(events []store.Event) []store.Item {
 	return lo.Map(events, func(e store.Event, _ int) store.Item { return e.Item })
 }
--- a/internal/hub/hub_test.go
+++ b/internal/hub/hub_test.go
@@ -12,8 +12,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Parts are packed once for all that ask for the same, and read the same packed or not: an
-// instance of the version before does not say that it unpacks.
+// A part holds the same items whether it is compressed or not, and is compressed once for all
+// requests with the same revisions. Instances of the previous version request parts uncompressed.
 func TestPackedPartsReadTheSame(t *testing.T) {
 	is := is.New(t)
 	h, now := New("config", nil), time.Now()
@@ -24,11 +24,11 @@
 	h.Endpoints.Replace(items, 1000)
 	for _, after := range []store.Revision{0, 500} {
 		change, _ := h.Endpoints.Since(after)
-		plain := h.part(h.Endpoints, after, change, false, now)
-		packed := h.part(h.Endpoints, after, change, true, now)
+		plain := h.partFor(h.Endpoints, after, change, false, now)
+		packed := h.partFor(h.Endpoints, after, change, true, now)
 		is.True(len(plain.Items) == 1000 && len(plain.Packed) == 0)
 		is.True(len(packed.Items) == 0 && len(packed.Packed) > 0)
-		is.Equal(&packed.Packed[0], &h.part(h.Endpoints, after, change, true, now).Packed[0]) // the same bytes
+		is.Equal(&packed.Packed[0], &h.partFor(h.Endpoints, after, change, true, now).Packed[0]) // from the cache
 		is.Equal(packed.Whole, plain.Whole)
 		is.Equal(packed.At, plain.At)
 		is.NoErr(Unpack(packed))
@@ -40,10 +40,10 @@
 			is.Equal(seen[e.Key], string(e.Value))
 		}
 	}
-	h.part(h.Endpoints, 0, mirror.Change{}, true, now.Add(2*packFor))
+	h.partFor(h.Endpoints, 0, mirror.Change{}, true, now.Add(2*packedLifetime))
 	h.Endpoints.Apply([]store.Event{{Item: store.Item{Key: "k1", Revision: 1001}}}, 1001)
 	change, _ := h.Endpoints.Since(1000)
-	is.Equal(len(h.part(h.Endpoints, 1000, change, true, now).Items), 1) // a few are told as they are
+	is.Equal(len(h.partFor(h.Endpoints, 1000, change, true, now).Items), 1) // few items are sent uncompressed
 }
 
 func TestASpoiltPartIsAnError(t *testing.T) {
