--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -164,7 +164,7 @@
 	if item.Revision > store.Revision(q.Config) {
 		a.PackedConfig = h.packConfig(item)
 	}
-	changed := len(a.PackedConfig) > 0 || len(a.Orders) > 0 || len(endpoints.Events)+len(instances.Events) > 0 || endpoints.Whole || instances.Whole
+	changed := len(a.PackedConfig) > 0 || len(a.Orders) > 0 || len(endpoints.Events)+len(instances.Events) > 0 || endpoints.Snapshot || instances.Snapshot
 	return a, changed, nil
 }
 
@@ -193,7 +193,7 @@
 	if !unpacks || len(c.Events) < minPackedItems {
 		return encodePart(c)
 	}
-	if c.Whole {
+	if c.Snapshot {
 		after = 0 // a snapshot does not depend on the caller's revision
 	}
 	key := partKey{replica, after, c.At}
@@ -209,7 +209,7 @@
 		p = &packedPart{mirror.Pack(items), now.Add(packedLifetime)}
 		h.packedParts[key] = p
 	}
-	return &peerpb.MirrorPart{Whole: c.Whole, At: int64(c.At), Packed: p.packed}
+	return &peerpb.MirrorPart{Whole: c.Snapshot, At: int64(c.At), Packed: p.packed}
 }
 
 // UnpackPart replaces the compressed items of a part, if it has any, by the items themselves.
@@ -231,7 +231,7 @@
 
 // encodePart encodes a change without compressing it.
 func encodePart(c mirror.Change) *peerpb.MirrorPart {
-	return &peerpb.MirrorPart{Whole: c.Whole, At: int64(c.At), Items: lo.Map(c.Events, func(e store.Event, _ int) *peerpb.MirrorItem {
+	return &peerpb.MirrorPart{Whole: c.Snapshot, At: int64(c.At), Items: lo.Map(c.Events, func(e store.Event, _ int) *peerpb.MirrorItem {
 		return encodeItem(e)
 	})}
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,7 @@
-// Package mirror keeps a copy of a part of the platform's store, with the
-// changes of late, so that a few nodes can read the store for all.
+// Package mirror keeps replicas of parts of the platform's store, with their recent changes, so
+// that a few instances can read the store on behalf of all.
 //
-// Copy is safe for concurrent use.
+// Replica is safe for concurrent use.
 package mirror
 
 import (
@@ -10,33 +10,34 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// leastEvents is how many changes a copy remembers at the least; else as many as it has
-// items. A reader that is further behind gets all items, which is then less: when a
-// fleet starts, more entries change between two questions of a reader than a fixed number.
-const leastEvents = 512
+// minEvents is the least number of changes that a replica keeps. One with more items keeps as many
+// changes as it has items: while a large fleet starts, more entries change between two requests of
+// a reader than any fixed number. A reader that is further behind gets all items, which are then
+// fewer than the changes.
+const minEvents = 512
 
-// Copy is the copy of what the store has under one prefix.
+// Replica is a copy of the items that the store has under one prefix, with their recent changes.
 type Copy struct {
-	mu      sync.Mutex
-	known   bool                  // a listing was taken; guarded by mu
-	items   map[string]store.Item // guarded by mu
-	events  []store.Event         // changes after from; guarded by mu
-	from    store.Revision        // guarded by mu
-	at      store.Revision        // revision up to which the copy is true; guarded by mu
-	changed chan struct{}         // closed and made anew with each change; guarded by mu
+	mu          sync.Mutex
+	listed      bool                  // Replace was called at least once; guarded by mu
+	items       map[string]store.Item // guarded by mu
+	events      []store.Event         // all changes after revision eventsAfter; guarded by mu
+	eventsAfter store.Revision        // guarded by mu
+	revision    store.Revision        // revision of the store that items reflect; guarded by mu
+	changed     chan struct{}         // closed and replaced at each change; guarded by mu
 }
 
-// New returns a copy that knows nothing yet.
+// New returns a replica that has had no listing yet.
 func New() *Copy { return &Copy{changed: make(chan struct{})} }
 
-// Change is what a reader of a copy does not know yet.
+// Change holds what changed in a replica since the revision that a reader has.
 type Change struct {
-	Whole  bool           // Events put all the items there are, instead of the changes
-	Events []store.Event  // empty if there is nothing new
-	At     store.Revision // where the reader goes on from
+	Snapshot bool           // Events hold all items instead of the changes; the reader drops every other item
+	Events   []store.Event  // empty if nothing changed and Snapshot is false
+	At       store.Revision // revision for the reader's next call of Since
 }
 
-// Replace takes a listing that is true at a revision.
+// Replace replaces all items by a listing made at the revision at.
 func (c *Copy) Replace(items []store.Item, at store.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,16 +45,16 @@
 	for _, item := range items {
 		c.items[item.Key] = item
 	}
-	c.events, c.from, c.at, c.known = nil, at, at, true
-	c.signal()
+	c.events, c.eventsAfter, c.revision, c.listed = nil, at, at, true
+	c.notify()
 }
 
-// Apply takes the changes up to a revision.
+// Apply applies the changes up to the revision at. Changes before the first listing are ignored.
 func (c *Copy) Apply(events []store.Event, at store.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at = max(c.at, at)
-	if len(events) == 0 || !c.known {
+	c.revision = max(c.revision, at)
+	if len(events) == 0 || !c.listed {
 		return
 	}
 	for _, e := range events {
@@ -64,41 +65,42 @@
 		}
 	}
 	c.events = append(c.events, events...)
-	if n := len(c.events) - max(leastEvents, len(c.items)); n > 0 {
-		c.from = c.events[n-1].Revision
+	if n := len(c.events) - max(minEvents, len(c.items)); n > 0 {
+		c.eventsAfter = c.events[n-1].Revision
 		c.events = append([]store.Event(nil), c.events[n:]...)
 	}
-	c.signal()
+	c.notify()
 }
 
-func (c *Copy) signal() {
+// notify wakes all that wait on Changed. The caller holds mu.
+func (c *Copy) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed with the next change.
+// Changed returns a channel that is closed at the next change.
 func (c *Copy) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// Since returns what changed after a revision; after 0 that is all. The second
-// result is false while the copy knows nothing.
+// Since returns what changed after a revision, or all items if the replica does not keep the
+// changes that far back. The second result is false before the first listing.
 func (c *Copy) Since(after store.Revision) (Change, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.known {
+	if !c.listed {
 		return Change{}, false
 	}
-	if after < c.from {
-		whole := Change{Whole: true, At: c.at}
+	if after < c.eventsAfter {
+		snapshot := Change{Snapshot: true, At: c.revision}
 		for _, item := range c.items {
-			whole.Events = append(whole.Events, store.Event{Item: item})
+			snapshot.Events = append(snapshot.Events, store.Event{Item: item})
 		}
-		return whole, true
+		return snapshot, true
 	}
-	change := Change{At: max(after, c.at)}
+	change := Change{At: max(after, c.revision)}
 	for _, e := range c.events {
 		if e.Revision > after {
 			change.Events = append(change.Events, e)
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -17,33 +17,33 @@
 	_, known := c.Since(0)
 	is.True(!known)
 	c.Replace([]store.Item{{Key: "a", Revision: 3}}, 5)
-	for i := range leastEvents + 10 {
+	for i := range minEvents + 10 {
 		c.Apply([]store.Event{{Item: store.Item{Key: fmt.Sprint("k", i%7), Revision: store.Revision(6 + i)}}}, store.Revision(6+i))
 	}
 	change, _ := c.Since(5)
-	is.True(change.Whole)
-	is.Equal(len(change.Events), 8) // a and seven others
+	is.True(change.Snapshot)
+	is.Equal(len(change.Events), 8) // a and k0 to k6
 	change, _ = c.Since(change.At)
-	is.True(!change.Whole)
+	is.True(!change.Snapshot)
 	is.Equal(len(change.Events), 0)
 }
 
-// A reader that follows two copies by turns, each at its own pace, ends with
-// what the store has.
+// A reader that alternates between two replicas which lag behind the store by different amounts
+// ends with the items of the store once a replica has caught up.
 func TestReadersOfSeveralCopiesSeeTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth := make(map[string]store.Revision)
+		stored := make(map[string]store.Revision)
 		var log []store.Event
 		rev := store.Revision(0)
-		copies := []*Copy{New(), New()}
-		position := []int{0, 0} // in the log
-		for _, c := range copies {
+		replicas := []*Copy{New(), New()}
+		position := []int{0, 0} // of each replica in the log
+		for _, c := range replicas {
 			c.Replace(nil, 0)
 		}
 		seen, after := make(map[string]store.Revision), store.Revision(0)
 		read := func(c *Copy) {
 			change, _ := c.Since(after)
-			if change.Whole {
+			if change.Snapshot {
 				clear(seen)
 			}
 			for _, e := range change.Events {
@@ -56,7 +56,7 @@
 			after = change.At
 		}
 		catchUp := func(i int) {
-			copies[i].Apply(log[position[i]:], rev)
+			replicas[i].Apply(log[position[i]:], rev)
 			position[i] = len(log)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -66,20 +66,20 @@
 				e := store.Event{Item: store.Item{Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), Revision: rev}, Gone: rapid.Bool().Draw(t, "gone")}
 				log = append(log, e)
 				if e.Gone {
-					delete(truth, e.Key)
+					delete(stored, e.Key)
 				} else {
-					truth[e.Key] = rev
+					stored[e.Key] = rev
 				}
 			case 2:
-				catchUp(rapid.IntRange(0, 1).Draw(t, "copy"))
+				catchUp(rapid.IntRange(0, 1).Draw(t, "replica"))
 			case 3:
-				read(copies[rapid.IntRange(0, 1).Draw(t, "copy")])
+				read(replicas[rapid.IntRange(0, 1).Draw(t, "replica")])
 			}
 		}
 		catchUp(0)
-		read(copies[0])
-		if !maps.Equal(seen, truth) {
-			t.Fatalf("seen %v, the store has %v", seen, truth)
+		read(replicas[0])
+		if !maps.Equal(seen, stored) {
+			t.Fatalf("seen %v, the store has %v", seen, stored)
 		}
 	})
 }
--- a/internal/mirror/packing.go
+++ b/internal/mirror/packing.go
@@ -7,12 +7,13 @@
 	"io"
 )
 
-// mostConfig bounds a configuration that another instance passes on, in bytes. The
-// store takes values of a million.
-const mostConfig = 16 << 20
+// maxUnpackedSize is the largest uncompressed size that Unpack accepts, in bytes. The store accepts
+// values of up to a million bytes.
+const maxUnpackedSize = 16 << 20
 
-// Pack compresses a configuration that is passed on to many instances: a large
-// one they cannot all get through one link within the time in which it has to be in force.
+// Pack compresses a value, a configuration or a list of entries, that one instance sends to many.
+// An uncompressed large configuration would not get through the sender's link to all of them
+// within the time in which it has to be in force.
 func Pack(value []byte) []byte {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -28,14 +29,14 @@
 func Unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return nil, fmt.Errorf("compressed configuration: %w", err)
+		return nil, fmt.Errorf("decompress: %w", err)
 	}
-	value, err := io.ReadAll(io.LimitReader(r, mostConfig+1))
+	value, err := io.ReadAll(io.LimitReader(r, maxUnpackedSize+1))
 	if err != nil {
-		return nil, fmt.Errorf("compressed configuration: %w", err)
+		return nil, fmt.Errorf("decompress: %w", err)
 	}
-	if len(value) > mostConfig {
-		return nil, fmt.Errorf("compressed configuration: more than %d bytes", mostConfig)
+	if len(value) > maxUnpackedSize {
+		return nil, fmt.Errorf("decompress: more than %d bytes", maxUnpackedSize)
 	}
 	return value, nil
 }
--- a/internal/mirror/packing_test.go
+++ b/internal/mirror/packing_test.go
@@ -12,7 +12,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/policy"
 )
 
-// bigConfig is a configuration with many routes, as operators write it.
+// bigConfig returns the JSON of a configuration with a number of routes.
 func bigConfig(routes int) []byte {
 	c := policy.Config{Version: 2, Services: []policy.Service{{Name: "svc"}}}
 	for i := range routes {
@@ -39,14 +39,14 @@
 func TestWhatCannotBeUnpacked(t *testing.T) {
 	is := is.New(t)
 	packed := Pack(bigConfig(10))
-	for _, bad := range [][]byte{nil, []byte("plain"), packed[:len(packed)/2], Pack(make([]byte, mostConfig+1))} {
+	for _, bad := range [][]byte{nil, []byte("plain"), packed[:len(packed)/2], Pack(make([]byte, maxUnpackedSize+1))} {
 		_, err := Unpack(bad)
 		is.True(err != nil)
 	}
 }
 
-// A configuration of 1,700 routes for one instance; 0.5 MB went over the link before,
-// without any processor time.
+// Measures the processor time of packing and unpacking a configuration of 1,700 routes, which is
+// 0.5 MB uncompressed, and reports its compressed size.
 func BenchmarkPackConfig(b *testing.B) {
 	value := bigConfig(1700)
 	for b.Loop() {
--- a/internal/mirror/progress.go
+++ b/internal/mirror/progress.go
@@ -7,57 +7,60 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// silentAfter is how long another node may know more than this one until the
-// own watch counts as silent: changes are gathered, and travel.
-const silentAfter = 600 * time.Millisecond
+// stallTimeout is how long another instance may be ahead of this one before the own watch counts
+// as stalled. It covers the batching of changes and their transmission.
+const stallTimeout = 600 * time.Millisecond
 
-// Progress tells a watch of the servers that has gone silent from one that has
-// nothing to tell: the other nodes watch as well. It is safe for concurrent use.
+// StallDetector distinguishes a stalled watch of the endpoints' entries from an idle one, by
+// comparing the revisions that this instance has seen with those that other instances advertise
+// from their own watches. It is safe for concurrent use.
 type Progress struct {
-	mu    sync.Mutex
-	seen  store.Revision // revision of the newest change of a server; guarded by mu
-	known store.Revision // revision up to which all changes are known; guarded by mu
-	since time.Time      // when another node was first found to know more; guarded by mu
+	mu         sync.Mutex
+	newest     store.Revision // revision of the newest change of an endpoint's entry; guarded by mu
+	knownTo    store.Revision // revision up to which all changes have been seen; guarded by mu
+	aheadSince time.Time      // when another instance was first found ahead; guarded by mu
 }
 
-// Saw notes a change.
+// ObserveChange records a change that the watch reported.
 func (s *Progress) Saw(revision store.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = max(s.seen, revision)
-	s.known = max(s.known, revision)
+	s.newest = max(s.newest, revision)
+	s.knownTo = max(s.knownTo, revision)
 }
 
-// Listed notes a listing that is true at a revision. That alone is not told to
-// others: it grows with changes of other things.
+// ObserveListing records a listing made at the revision at. Newest does not return at itself: it is
+// the revision of the whole store, which also grows with changes of other keys.
 func (s *Progress) Listed(items []store.Item, at store.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, item := range items {
-		s.seen = max(s.seen, item.Revision)
+		s.newest = max(s.newest, item.Revision)
 	}
-	s.known = max(s.known, at, s.seen)
+	s.knownTo = max(s.knownTo, at, s.newest)
 }
 
-// Newest returns the revision of the newest change, for the other nodes.
+// Newest returns the revision of the newest change, to be advertised to the other instances.
 func (s *Progress) Newest() store.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen
+	return s.newest
 }
 
-// Behind takes what another node told, and reports whether the own watch has
-// been silent for too long.
-func (s *Progress) Behind(told store.Revision, now time.Time) bool {
+// Stalled compares the revision that another instance advertises with what this instance has seen.
+// It reports true if an instance was found ahead, and one is found ahead again between once and
+// twice stallTimeout later. Then, and after twice stallTimeout without that, the measurement starts
+// anew.
+func (s *Progress) Behind(advertised store.Revision, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case told <= s.known:
-		return false // says nothing of what others know
-	case s.since.IsZero() || now.Sub(s.since) > 2*silentAfter:
-		s.since = now
-	case now.Sub(s.since) > silentAfter:
-		s.since = time.Time{}
+	case advertised <= s.knownTo:
+		return false // other instances may still be ahead: aheadSince stays
+	case s.aheadSince.IsZero() || now.Sub(s.aheadSince) > 2*stallTimeout:
+		s.aheadSince = now
+	case now.Sub(s.aheadSince) > stallTimeout:
+		s.aheadSince = time.Time{}
 		return true
 	}
 	return false
