--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,12 +1,13 @@
-// Package duty makes sure that at most one node at a time acts for all.
+// Package duty elects a leader: at most one instance at a time holds the duty, which is the right
+// to act on behalf of all instances.
 //
-// The holder has a key in the store that goes with a lease. It acts only until
-// a deadline of its own that lies well before the lease can end, counted by the
-// steady clock from the sending of the last renewal, so that it is silent
-// before another node can get the key. Its fence is the revision at which the
-// key was written, which goes up with each holder, and when the store is restored.
-// The lease is never ended early: between two holders there is always the length
-// of a lease. After a restore nobody takes the key for that long.
+// The holder has a key in the store that is bound to a lease. It acts only until a deadline of its
+// own, which lies well before the earliest time at which the lease can expire and is counted from
+// when the last renewal was sent. So it has stopped acting before another instance can get the
+// key. Its fence, a fencing token, is the revision at which the key was written; it rises with each
+// holder and whenever the store is restored. A holder's lease is never revoked but left to expire,
+// so that a lease's time passes between two holders. After a restore of the store no instance
+// takes the key for that time.
 package duty
 
 import (
@@ -23,176 +24,185 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Token identifies who acts to the receiver of an order.
+// Token identifies the holder to the receiver of an order, which rejects orders with a lower fence
+// than it has seen.
 type Token struct {
 	Holder string
 	Fence  store.Revision
 }
 
-// Errors of orders. Any other error leaves open whether the order was taken.
+// Errors of orders. After any other error it is unknown whether the order was carried out.
 var (
-	ErrRefused = errors.New("the order was refused; nothing was done")
-	ErrSoldOut = errors.New("no such servers are to be had there now")
+	ErrRefused = errors.New("order refused; nothing was done")
+	ErrSoldOut = errors.New("no capacity for such endpoints in this hall now")
 )
 
-// Parts of the lease.
+// Timing of the election.
 const (
-	marginShare = 0.25 // of the lease that a holder stays silent before its end
-	renewShare  = 0.3  // of the lease after which it is renewed
-	campaignMin = 20 * time.Millisecond
-	campaignMax = 250 * time.Millisecond
-	restMin     = 1500 * time.Millisecond
-	lookEvery   = 1500 * time.Millisecond // a node that is no holder looks at the key
+	guardFraction    = 0.25                  // of the lease's TTL; a holder stops acting this long before the lease can expire
+	renewFraction    = 0.3                   // of the lease's TTL, after which the lease is renewed
+	campaignDelayMin = 20 * time.Millisecond // random delays keep instances from campaigning at once
+	campaignDelayMax = 250 * time.Millisecond
+	retryDelayMin    = 1500 * time.Millisecond // after a failed campaign; the delay is random, up to twice this
+	recheckInterval  = 1500 * time.Millisecond // between two checks whether the key is still taken
 )
 
-// Options are what an elector is made of.
+// Options configure an elector.
 type Options struct {
-	Instance string // name of this machine
-	Value    []byte // of the key; differs between incarnations
-	Key      string
+	Instance string        // name of this instance
+	Value    []byte        // written to the key; must differ between instances and between their incarnations
+	Key      string        // in the store
 	TTL      time.Duration // of the lease
 	Store    interface {
 		store.Reader
 		store.Writer
 	}
-	Clock *clock.Clock // may be nil
+	Clock *clock.Clock // may be nil; deadlines are counted by it, so that suspensions of the instance count
 	Log   *zap.Logger
 	Rand  *rand.Rand // used by Run only
-	// Eligible says whether this node may compete now; nil if it always may. In
-	// a large fleet few compete: each campaign costs calls of the store.
+	// Eligible reports whether this instance may campaign now; nil means always. In a large fleet
+	// only a few instances campaign, because each campaign costs calls to the store.
 	Eligible func() bool
 }
 
-// Elector competes for a duty. Token and Saw are safe for concurrent use.
+// Elector campaigns for a duty and holds it. Token and ObserveKey are safe for concurrent use.
 type Elector struct {
 	Options
-	kick chan struct{} // the key went; has room for one
+	keyFreed chan struct{} // signals that the key was deleted; buffered, with room for one
 
-	// Of Run: the store's era, and from when on no holder of an earlier one acts any more.
-	era       int64
-	settledAt time.Time
+	// The store's latest era, and when the last holder of an earlier era has stopped acting. Used by
+	// Run only.
+	era                 int64
+	earlierErasExpireAt time.Time
 
-	mu    sync.Mutex
-	token Token
-	until time.Time // when this node stops acting; guarded by mu
-	taken bool      // the key is assumed to be there; guarded by mu
+	mu       sync.Mutex
+	token    Token
+	actUntil time.Time // when this instance must stop acting; guarded by mu
+	keyTaken bool      // the key existed when last observed; guarded by mu
 }
 
-// New returns an elector; Run runs it.
+// New returns an elector, which campaigns once Run is called.
 func New(o Options) *Elector {
-	return &Elector{Options: o, kick: make(chan struct{}, 1)}
+	return &Elector{Options: o, keyFreed: make(chan struct{}, 1)}
 }
 
-// Token returns the right to act and until when it holds, if this node has it.
+// Token returns this instance's token and when it must stop acting. The last result reports whether
+// it holds the duty at the time now.
 func (e *Elector) Token(now time.Time) (Token, time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.token, e.until, now.Before(e.until)
+	return e.token, e.actUntil, now.Before(e.actUntil)
 }
 
-// Saw takes note of the key as the store has it.
+// ObserveKey records whether the key exists, as a watch or a read of the store reported it.
 func (e *Elector) Saw(taken bool) {
 	e.mu.Lock()
-	e.taken = taken
+	e.keyTaken = taken
 	e.mu.Unlock()
 	if taken {
 		return
 	}
 	select {
-	case e.kick <- struct{}{}:
+	case e.keyFreed <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Elector) hold(fence store.Revision, until time.Time) {
+// acquired records that this instance holds the duty until a time.
+func (e *Elector) acquired(fence store.Revision, until time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.token.Fence != fence {
 		event.Log(e.Log, event.DutyTaken, zap.Int64("fence", int64(fence)), zap.Time("until", until))
 	}
-	e.token, e.until = Token{e.Instance, fence}, until
+	e.token, e.actUntil = Token{e.Instance, fence}, until
 }
 
-func (e *Elector) drop(why string) {
+// lost records that this instance no longer holds the duty.
+func (e *Elector) lost(why string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.until = time.Time{}
+	e.actUntil = time.Time{}
 	event.Log(e.Log, event.DutyLost, zap.Int64("fence", int64(e.token.Fence)), zap.String("why", why))
 }
 
+// deadline returns when a holder must stop acting whose lease was granted or renewed by a call sent
+// at a time.
 func (e *Elector) deadline(sent time.Time) time.Time {
-	return sent.Add(e.TTL - time.Duration(marginShare*float64(e.TTL)))
+	return sent.Add(e.TTL - time.Duration(guardFraction*float64(e.TTL)))
 }
 
-// Run competes until ctx ends.
+// Run campaigns for the duty, and renews the lease while this instance holds it, until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !e.awaitFree(ctx) {
+		if !e.awaitKeyFree(ctx) {
 			continue
 		}
 		lease, fence, sent, ok := e.campaign(ctx)
 		if !ok {
-			e.rest(ctx)
+			e.backOff(ctx)
 			continue
 		}
-		e.hold(fence, e.deadline(sent))
+		e.acquired(fence, e.deadline(sent))
 		e.renew(ctx, lease, fence)
 	}
 	return ctx.Err()
 }
 
-// rest waits after a campaign that came to nothing: the store may be down, and
-// each call is paid for.
-func (e *Elector) rest(ctx context.Context) {
+// backOff waits after a failed campaign: the store may be down, and every call to it, a failed one
+// as well, is charged for.
+func (e *Elector) backOff(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-e.Clock.After(restMin + time.Duration(e.Rand.Int64N(int64(restMin)))):
+	case <-e.Clock.After(retryDelayMin + time.Duration(e.Rand.Int64N(int64(retryDelayMin)))):
 	}
 }
 
-// settled reports whether every holder of an earlier era has stopped acting. A restored store
-// may lack the key of one that acts on until shortly before its lease would have ended.
-func (e *Elector) settled() bool {
+// earlierErasExpired reports whether every holder of an earlier era has stopped acting. A restored
+// store may lack the key of a holder, which acts until shortly before its lease would have expired.
+func (e *Elector) earlierErasExpired() bool {
 	now := e.Clock.Now()
 	if era := e.Store.Era(); era != e.era {
-		e.era, e.settledAt = era, now.Add(e.TTL)
+		e.era, e.earlierErasExpireAt = era, now.Add(e.TTL)
 	}
-	return !now.Before(e.settledAt)
+	return !now.Before(e.earlierErasExpireAt)
 }
 
-// awaitFree waits until the key seems to be free, or looks when there is no
-// news for long.
-func (e *Elector) awaitFree(ctx context.Context) bool {
-	wait := lookEvery
+// awaitKeyFree waits for a random delay if the key was free when last observed, else for
+// recheckInterval. It reports whether this instance should campaign then. It returns false early
+// when the key is freed, so that the next call starts with the random delay.
+func (e *Elector) awaitKeyFree(ctx context.Context) bool {
+	wait := recheckInterval
 	e.mu.Lock()
-	taken := e.taken
+	taken := e.keyTaken
 	e.mu.Unlock()
 	if !taken {
-		wait = campaignMin + time.Duration(e.Rand.Int64N(int64(campaignMax-campaignMin)))
+		wait = campaignDelayMin + time.Duration(e.Rand.Int64N(int64(campaignDelayMax-campaignDelayMin)))
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-e.kick:
-		return false // wait a random moment first
+	case <-e.keyFreed:
+		return false // the next call waits for a random delay first
 	case <-e.Clock.After(wait):
 	}
-	if !e.settled() || e.Eligible != nil && !e.Eligible() {
+	if !e.earlierErasExpired() || e.Eligible != nil && !e.Eligible() {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.taken
+	return !e.keyTaken
 }
 
-// campaign tries to get the key. sent is when the lease was asked for.
+// campaign tries to create the key with a new lease, and returns the lease, the fence and when the
+// lease was requested. ok reports whether it succeeded.
 func (e *Elector) campaign(ctx context.Context) (lease int64, fence store.Revision, sent time.Time, ok bool) {
 	call, cancel := context.WithTimeout(ctx, e.TTL/3)
 	defer cancel()
 	sent = e.Clock.Now()
 	lease, err := e.Store.Grant(call, e.TTL.Milliseconds())
-	if err != nil || !e.settled() {
-		return 0, 0, sent, false // a lease without a key ends by itself
+	if err != nil || !e.earlierErasExpired() {
+		return 0, 0, sent, false // a lease without a key is left to expire
 	}
 	fence, err = e.Store.Do(call, store.Txn{
 		Expect: []store.Expect{{Key: e.Key}}, Put: []store.Put{{Key: e.Key, Value: e.Value, Lease: lease}},
@@ -202,21 +212,23 @@
 		return lease, fence, sent, fence.Era() == e.era
 	case errors.Is(err, store.ErrConflict):
 		e.Saw(true)
-		_ = e.Store.End(call, lease) // else it ends by itself
+		_ = e.Store.End(call, lease) // if this fails the lease expires
 		return 0, 0, sent, false
 	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrNotFound):
 		return 0, 0, sent, false
 	}
-	return e.settle(ctx, lease, sent)
+	return e.resolveWrite(ctx, lease, sent)
 }
 
-// settle finds out what became of a write whose answer was lost.
-func (e *Elector) settle(ctx context.Context, lease int64, sent time.Time) (int64, store.Revision, time.Time, bool) {
+// resolveWrite finds out whether the write of the key succeeded after its answer was lost. It
+// returns the same results as campaign. While the key does not exist it goes on reading until the
+// lease has expired, because the write may still be applied.
+func (e *Elector) resolveWrite(ctx context.Context, lease int64, sent time.Time) (int64, store.Revision, time.Time, bool) {
 	for e.Clock.Since(sent) < e.TTL && ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, e.TTL/6)
 		item, _, err := e.Store.Get(call, e.Key)
 		cancel()
-		if err == nil && e.owns(item, lease) {
+		if err == nil && e.ownsKey(item, lease) {
 			return lease, item.Revision, sent, item.Revision.Era() == e.era
 		}
 		if err == nil {
@@ -231,15 +243,15 @@
 	return 0, 0, sent, false
 }
 
-// owns reports whether the key was written with a lease by this elector.
-func (e *Elector) owns(item store.Item, lease int64) bool {
+// ownsKey reports whether item was written by this elector with the given lease.
+func (e *Elector) ownsKey(item store.Item, lease int64) bool {
 	return item.Lease == lease && string(item.Value) == string(e.Value)
 }
 
-// confirm returns the fence after the lease was renewed at a time, which is a new one if the
-// store was restored meanwhile. It reports false if the key is another's, or may have been
-// another's in between.
-func (e *Elector) confirm(ctx context.Context, lease int64, fence store.Revision, sent time.Time) (store.Revision, bool, error) {
+// confirmOwnership returns the fence after a renewal of the lease sent at a time: a new one if the
+// store was restored since the key was written. It reports false if another instance owns the key,
+// or may have owned it in between.
+func (e *Elector) confirmOwnership(ctx context.Context, lease int64, fence store.Revision, sent time.Time) (store.Revision, bool, error) {
 	if e.Store.Era() == fence.Era() {
 		return fence, true, nil
 	}
@@ -252,16 +264,16 @@
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, false, nil
 	}
-	return item.Revision, e.owns(item, lease), err
+	return item.Revision, e.ownsKey(item, lease), err
 }
 
-// renew keeps the lease until it is lost.
+// renew renews the lease until the duty is lost or ctx ends.
 func (e *Elector) renew(ctx context.Context, lease int64, fence store.Revision) {
-	pause := time.Duration(renewShare * float64(e.TTL))
+	pause := time.Duration(renewFraction * float64(e.TTL))
 	for {
 		select {
 		case <-ctx.Done():
-			e.drop("this node stops")
+			e.lost("this instance is stopping")
 			return
 		case <-e.Clock.After(pause):
 		}
@@ -272,19 +284,19 @@
 		cancel()
 		switch {
 		case err == nil:
-			next, owned, err := e.confirm(ctx, lease, fence, sent)
+			next, owned, err := e.confirmOwnership(ctx, lease, fence, sent)
 			if err != nil {
 				continue
 			}
 			if !owned {
-				e.drop("the store was restored")
+				e.lost("the store was restored")
 				return
 			}
 			fence = next
-			e.hold(fence, e.deadline(sent))
-			pause = time.Duration(renewShare * float64(e.TTL))
+			e.acquired(fence, e.deadline(sent))
+			pause = time.Duration(renewFraction * float64(e.TTL))
 		case errors.Is(err, store.ErrNotFound):
-			e.drop("the lease is over")
+			e.lost("the lease has expired")
 			e.Saw(false)
 			return
 		}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -21,8 +21,8 @@
 	testTTL = 3 * time.Second
 )
 
-// follow tells an elector of the key as a node's watch does.
-func follow(ctx context.Context, c *storetest.Client, e *Elector) {
+// watchKey reports the key to an elector as an instance's watch of the store does.
+func watchKey(ctx context.Context, c *storetest.Client, e *Elector) {
 	for ctx.Err() == nil {
 		items, at, err := c.Range(ctx, testKey)
 		if err != nil {
@@ -45,25 +45,27 @@
 	}
 }
 
-// node is an elector that can be killed.
-type node struct {
+// contender is an elector that can be killed.
+type contender struct {
 	elector *Elector
 	stop    context.CancelFunc
 }
 
-func start(s *storetest.Store, name string, life int) *node { return startOn(s, name, life, nil) }
+func start(s *storetest.Store, name string, incarnation int) *contender {
+	return startWithClock(s, name, incarnation, nil)
+}
 
-// startOn starts an elector that goes by a clock.
-func startOn(s *storetest.Store, name string, life int, by *clock.Clock) *node {
+// startWithClock starts an elector that uses a clock, and reports the key to it.
+func startWithClock(s *storetest.Store, name string, incarnation int, clk *clock.Clock) *contender {
 	ctx, stop := context.WithCancel(context.Background())
 	c := s.Client(name)
 	e := New(Options{
-		Instance: name, Value: fmt.Appendf(nil, "%s %d", name, life), Key: testKey, TTL: testTTL, Store: c, Clock: by,
-		Log: zap.NewNop(), Rand: rand.New(rand.NewPCG(uint64(life), 7)),
+		Instance: name, Value: fmt.Appendf(nil, "%s %d", name, incarnation), Key: testKey, TTL: testTTL, Store: c, Clock: clk,
+		Log: zap.NewNop(), Rand: rand.New(rand.NewPCG(uint64(incarnation), 7)),
 	})
 	go func() { _ = e.Run(ctx) }()
-	go follow(ctx, c, e)
-	return &node{e, stop}
+	go watchKey(ctx, c, e)
+	return &contender{e, stop}
 }
 
 func TestOneTakesTheDutyAndAnotherFollows(t *testing.T) {
@@ -88,12 +90,11 @@
 	})
 }
 
-// Random kills, outages, refusals and lost or late writes: there are never two
-// holders at a time, fences only rise, and after one holder another acts no
-// sooner than a part of the lease later.
+// Under random kills, outages, refusals and lost or late writes there are never two holders at a
+// time, and fences only rise.
 func TestNeverTwoHolders(t *testing.T) {
 	for seed := range uint64(30) {
-		virtual.Test(t, func(t *testing.T) { playHolders(t, seed, func(*rand.Rand, *storetest.Store) {}) })
+		virtual.Test(t, func(t *testing.T) { runRandomFaults(t, seed, func(*rand.Rand, *storetest.Store) {}) })
 	}
 }
 
@@ -101,7 +102,7 @@
 	for seed := range uint64(60) {
 		virtual.Test(t, func(t *testing.T) {
 			var backups []storetest.Backup
-			playHolders(t, seed, func(rnd *rand.Rand, s *storetest.Store) {
+			runRandomFaults(t, seed, func(rnd *rand.Rand, s *storetest.Store) {
 				if rnd.Float64() < 0.3 {
 					backups = append(backups, s.Backup())
 				}
@@ -114,31 +115,32 @@
 	}
 }
 
-// playHolders plays random faults of a seed, and what more is to happen at each step.
-func playHolders(t *testing.T, seed uint64, more func(*rand.Rand, *storetest.Store)) {
+// runRandomFaults runs four electors under the random faults of a seed, calls perStep at each step,
+// and fails the test if two hold the duty at a time or a fence falls.
+func runRandomFaults(t *testing.T, seed uint64, perStep func(*rand.Rand, *storetest.Store)) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	s := storetest.New()
 	names := []string{"a", "b", "c", "d"}
-	nodes := make(map[string]*node)
-	life := 0
+	contenders := make(map[string]*contender)
+	incarnation := 0
 	var fence store.Revision
 	holder, acted := "", 0
 	for range 1200 {
 		time.Sleep(50 * time.Millisecond)
-		more(rnd, s)
+		perStep(rnd, s)
 		for _, name := range names {
-			if nodes[name] == nil && rnd.Float64() < 0.1 {
-				life++
-				nodes[name] = start(s, name, life)
+			if contenders[name] == nil && rnd.Float64() < 0.1 {
+				incarnation++
+				contenders[name] = start(s, name, incarnation)
 			}
 		}
 		now := time.Now()
 		holders := 0
 		for _, name := range names {
-			if nodes[name] == nil {
+			if contenders[name] == nil {
 				continue
 			}
-			token, _, ok := nodes[name].elector.Token(now)
+			token, _, ok := contenders[name].elector.Token(now)
 			if !ok {
 				continue
 			}
@@ -152,26 +154,27 @@
 		if holders > 1 {
 			t.Fatalf("seed %d: %d holders", seed, holders)
 		}
-		disturb(rnd, s, nodes, names)
+		injectFault(rnd, s, contenders, names)
 	}
 	if acted == 0 {
 		t.Fatalf("seed %d: nobody ever acted", seed)
 	}
-	for _, n := range nodes {
+	for _, n := range contenders {
 		if n != nil {
 			n.stop()
 		}
 	}
-	time.Sleep(10 * time.Second) // until all goroutines and late writes have ended
+	time.Sleep(10 * time.Second) // for all goroutines and late writes to end
 }
 
-// disturb kills a node or sets what it meets at the store.
-func disturb(rnd *rand.Rand, s *storetest.Store, nodes map[string]*node, names []string) {
+// injectFault stops a random elector, changes the faults of its calls to the store, or compacts the
+// store's history, each with a small probability.
+func injectFault(rnd *rand.Rand, s *storetest.Store, contenders map[string]*contender, names []string) {
 	name := names[rnd.IntN(len(names))]
 	switch x := rnd.Float64(); {
-	case x < 0.01 && nodes[name] != nil:
-		nodes[name].stop()
-		nodes[name] = nil
+	case x < 0.01 && contenders[name] != nil:
+		contenders[name].stop()
+		contenders[name] = nil
 	case x < 0.02:
 		s.SetFaults(name, storetest.Faults{Down: true})
 	case x < 0.03:
--- a/internal/duty/suspend_test.go
+++ b/internal/duty/suspend_test.go
@@ -13,39 +13,36 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// The platform got orders of one holder after those of the next one.
-//
-// Order of events: the holder's machine is suspended for longer than its lease; another
-// instance gets the duty and acts; the machine goes on, and its first order goes out under
-// the old number. Cause: the holder's own deadline went by Go's steady clock, which stands still
-// meanwhile, so that the lease seemed to hold on for as long as before. Evidence: the old
-// holder's line tells of its duty only with the next renewal, up to 2.25 s later.
+// Guards against orders of an old holder that reach the platform after orders of the next one. It
+// happens when the holder is suspended for longer than its lease and another instance takes the
+// duty, if the holder counts its deadline by Go's monotonic clock, which stops during a suspension:
+// it then goes on under the old fence until its next renewal, up to 2.25 s later.
 func TestAHolderThatWasSuspendedIsSilent(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 20 * time.Second} {
 		virtual.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			s := storetest.New()
-			machine := clocktest.New()
-			a := startOn(s, "a", 1, clock.New(machine))
+			host := clocktest.New()
+			a := startWithClock(s, "a", 1, clock.New(host))
 			time.Sleep(time.Second)
 			b := start(s, "b", 2)
-			defer func() { // what waits ends as well
+			defer func() { // also let pending waits and calls end
 				a.stop()
 				b.stop()
 				time.Sleep(testTTL)
 			}()
-			for range 2 { // it gets the duty again in between, or not
-				machine.Suspend()
+			for range 2 { // a may or may not get the duty back before the second suspension
+				host.Suspend()
 				s.SetFaults("a", storetest.Faults{Frozen: true})
 				time.Sleep(d)
-				machine.Resume()
+				host.Resume()
 				s.SetFaults("a", storetest.Faults{})
-				var last store.Revision // number of the last order
+				var last store.Revision // fence of the last order
 				for range 500 {
-					for _, n := range []*node{b, a} {
-						token, _, ok := n.elector.Token(n.elector.Clock.Now())
+					for _, c := range []*contender{b, a} {
+						token, _, ok := c.elector.Token(c.elector.Clock.Now())
 						if ok && token.Fence < last {
-							t.Fatalf("suspended for %s: an order numbered %d after %d", d, token.Fence, last)
+							t.Fatalf("suspended for %s: an order with fence %d after one with %d", d, token.Fence, last)
 						}
 						if ok {
 							last = token.Fence
