--- a/internal/rollctl/exchange.go
+++ b/internal/rollctl/exchange.go
@@ -32,8 +32,8 @@
 	at     time.Time
 }
 
-// statesCount is how long a report counts after which the instance is not seen again.
-const statesCount = 3 * time.Second
+// stateTTL is how long a report counts after which the instance is not seen again.
+const stateTTL = 3 * time.Second
 
 // Permitted takes a permit.
 func (c *Control) Permitted(p Permit, now time.Time) {
@@ -43,7 +43,7 @@
 	if s == nil || s.record.Order != p.Order || p.Number <= s.permit.Number {
 		return
 	}
-	s.permit, s.until = p, now.Add(permitFor)
+	s.permit, s.permitUntil = p, now.Add(permitTTL)
 }
 
 // Permits returns the newest permits known, to be passed on.
@@ -71,7 +71,7 @@
 		}
 		state := State{Service: name, Order: s.record.Order, Phase: s.record.Phase, Instances: 1}
 		for id, n := range open {
-			if s.arms.Old[id] {
+			if s.arms.Replaced[id] {
 				state.Open += int64(n)
 			}
 		}
@@ -91,7 +91,7 @@
 func (c *Control) AllStates(own []State, now time.Time) []State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.states, func(_ string, h peerStates) bool { return now.Sub(h.at) > statesCount })
+	maps.DeleteFunc(c.states, func(_ string, h peerStates) bool { return now.Sub(h.at) > stateTTL })
 	sum := SumStates(nil, own)
 	for _, h := range c.states {
 		sum = SumStates(sum, h.states)
@@ -148,11 +148,11 @@
 func (c *Control) Group() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.group()
+	return c.groupLocked()
 }
 
-// group is Group for a caller that holds mu.
-func (c *Control) group() rollout.Counts {
+// groupLocked is Group for a caller that holds mu.
+func (c *Control) groupLocked() rollout.Counts {
 	sum := c.ledger.Offer(c.self, c.own)
 	c.ledger.Confirmed(c.self, sum) // which copies them
 	for key, n := range c.reported.Sum() {
@@ -168,11 +168,11 @@
 	if len(told) == 0 {
 		return // it knows of no roll-out; what it reported before may still count
 	}
-	c.others[source{fleet, from}] = told
+	c.peerCounts[countSource{fleet, from}] = told
 }
 
-// source is who reported counts, and as what.
-type source struct {
+// countSource is who reported counts, and as what.
+type countSource struct {
 	fleet Fleet
 	from  tally.Source
 }
@@ -187,8 +187,8 @@
 	ByHubs              // the same, and this one gets the sum from its hub
 )
 
-// Total returns the counts of all instances for an order.
-func (c *Control) Total(fleet Fleet, serviceName string, order store.Revision) rollout.Counts {
+// TotalCounts returns the counts of all instances for an order.
+func (c *Control) TotalCounts(fleet Fleet, serviceName string, order store.Revision) rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(rollout.Counts)
@@ -203,9 +203,9 @@
 	case Peers:
 		add(c.own)
 	case AsHub:
-		add(c.group())
+		add(c.groupLocked())
 	}
-	for from, told := range c.others {
+	for from, told := range c.peerCounts {
 		if from.fleet == fleet {
 			add(told)
 		}
@@ -217,8 +217,8 @@
 func (c *Control) AllCounts() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sum := c.group()
-	for from, told := range c.others {
+	sum := c.groupLocked()
+	for from, told := range c.peerCounts {
 		if from.fleet != AsHub {
 			continue
 		}
--- a/internal/rollctl/lead.go
+++ b/internal/rollctl/lead.go
@@ -17,8 +17,8 @@
 
 // Times of leading.
 const (
-	lookEvery = 300 * time.Millisecond // as often as instances report
-	logEvery  = 3                      // looks between two lines with the figures
+	evaluateInterval  = 300 * time.Millisecond // as often as instances report
+	evaluationsPerLog = 3                      // looks between two lines with the figures
 )
 
 // Known is what an instance knows of one service's roll-out.
@@ -55,35 +55,35 @@
 	Control *Control
 	Store   store.Writer
 
-	token duty.Token
-	led   map[string]*led // by service
+	token    duty.Token
+	rollouts map[string]*ledRollout // by service
 }
 
-// led is what the leader keeps of one roll-out.
-type led struct {
-	order    store.Revision
-	judge    *rollout.Judge
-	emptyAt  time.Time // since when nothing runs on the old version; zero if something does
-	looks    int
-	announce int64 // number of the last permit
+// ledRollout is what the leader keeps of one roll-out.
+type ledRollout struct {
+	order        store.Revision
+	judge        *rollout.Judge
+	drainedSince time.Time // since when nothing runs on the old version; zero if something does
+	evaluations  int
+	permitNumber int64 // number of the last permit
 }
 
 // Run leads until ctx ends.
 func (l *Leader) Run(ctx context.Context) error {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(evaluateInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-t.C:
-			l.look(ctx)
+			l.evaluateAll(ctx)
 		}
 	}
 }
 
-// look goes through the roll-outs once.
-func (l *Leader) look(ctx context.Context) {
+// evaluateAll goes through the roll-outs once.
+func (l *Leader) evaluateAll(ctx context.Context) {
 	call, cancel, token, ok := l.Host.Acting(ctx)
 	if !ok {
 		return
@@ -91,17 +91,17 @@
 	defer cancel()
 	if token != l.token {
 		// What an earlier run of this instance found may not hold any more.
-		l.token, l.led = token, make(map[string]*led)
+		l.token, l.rollouts = token, make(map[string]*ledRollout)
 	}
 	for _, k := range l.Host.Rollouts() {
-		if err := l.service(call, token, k, l.Control.clock.Now()); err != nil {
+		if err := l.advance(call, token, k, l.Control.clock.Now()); err != nil {
 			l.Host.Event(event.RolloutNotWritten, zap.Int64("fence", int64(token.Fence)), zap.Error(err))
 		}
 	}
 }
 
-// service leads one roll-out on.
-func (l *Leader) service(ctx context.Context, token duty.Token, k Known, now time.Time) error {
+// advance leads one roll-out on.
+func (l *Leader) advance(ctx context.Context, token duty.Token, k Known, now time.Time) error {
 	day := l.Host.Day(now)
 	if k.Order != nil && (k.Record == nil || !k.Record.Covers(*k.Order)) {
 		return l.write(ctx, token, k, rollout.Begin(*k.Order, k.Record, day), rollout.Verdict{})
@@ -109,31 +109,31 @@
 	if k.Record == nil {
 		return nil
 	}
-	if r, again := again(k); again {
+	if r, again := recordToRewrite(k); again {
 		return l.write(ctx, token, k, r, rollout.Verdict{})
 	}
 	if k.Record.Phase.Final() {
 		return nil
 	}
 	r := *k.Record
-	s := l.of(r)
-	standing := l.standing(s, r, k, now)
-	s.looks++
-	if s.looks%logEvery == 0 {
-		l.logDecision(event.RolloutLooked, r, standing.Verdict, zap.Int64("open_on_old", int64(standing.OldOpen)), zap.Bool("following", standing.Following))
+	s := l.rolloutFor(r)
+	standing := l.observe(s, r, k, now)
+	s.evaluations++
+	if s.evaluations%evaluationsPerLog == 0 {
+		l.logDecision(event.RolloutLooked, r, standing.Verdict, zap.Int64("open_on_old", int64(standing.OpenOnReplaced)), zap.Bool("following", standing.AllFollow))
 	}
 	next, changed := rollout.Next(r, standing)
 	if !changed {
-		l.permit(s, r, now)
+		l.renewPermit(s, r, now)
 		return nil
 	}
 	return l.write(ctx, token, k, next, standing.Verdict)
 }
 
-// again returns the record to write after a restore of the store, and whether it has to be: the
+// recordToRewrite returns the record to write after a restore of the store, and whether it has to be: the
 // store lost it, or a roll-out that is over goes by an order's revision of an earlier era, from
 // which a later order for the same target could not be distinguished.
-func again(k Known) (rollout.Record, bool) {
+func recordToRewrite(k Known) (rollout.Record, bool) {
 	r := *k.Record
 	if k.Settled && k.Order != nil && r.Phase.Final() && r.Order < k.Order.Revision {
 		r.Order = k.Order.Revision
@@ -142,53 +142,53 @@
 	return r, k.Lost
 }
 
-// of returns what is kept of a roll-out.
-func (l *Leader) of(r rollout.Record) *led {
-	s := l.led[r.Service]
+// rolloutFor returns what is kept rolloutFor a roll-out.
+func (l *Leader) rolloutFor(r rollout.Record) *ledRollout {
+	s := l.rollouts[r.Service]
 	if s == nil || s.order != r.Order {
-		s = &led{order: r.Order, judge: rollout.NewJudge()}
-		l.led[r.Service] = s
+		s = &ledRollout{order: r.Order, judge: rollout.NewJudge()}
+		l.rollouts[r.Service] = s
 	}
 	return s
 }
 
-// permit lets a trial go on for a while.
-func (l *Leader) permit(s *led, r rollout.Record, now time.Time) {
+// renewPermit lets a trial go on for a while.
+func (l *Leader) renewPermit(s *ledRollout, r rollout.Record, now time.Time) {
 	if r.Phase != rollout.Trial {
 		return
 	}
-	s.announce = max(s.announce+1, now.UnixNano())
-	l.Control.Permitted(Permit{Service: r.Service, Order: r.Order, Number: s.announce}, now)
+	s.permitNumber = max(s.permitNumber+1, now.UnixNano())
+	l.Control.Permitted(Permit{Service: r.Service, Order: r.Order, Number: s.permitNumber}, now)
 }
 
-// standing sums what the instances report.
-func (l *Leader) standing(s *led, r rollout.Record, k Known, now time.Time) rollout.Standing {
+// observe sums what the instances report.
+func (l *Leader) observe(s *ledRollout, r rollout.Record, k Known, now time.Time) rollout.Observation {
 	if r.Phase == rollout.Shift {
-		s.judge.Freeze()
+		s.judge.FreezeBaseline()
 	}
-	out := rollout.Standing{
+	out := rollout.Observation{
 		Now: l.Host.Day(now), Targets: k.Targets, Others: k.Others,
-		Verdict: s.judge.Look(l.Control.Total(l.Host.Fleet(), r.Service, r.Order)),
+		Verdict: s.judge.Evaluate(l.Control.TotalCounts(l.Host.Fleet(), r.Service, r.Order)),
 	}
 	following := int64(0)
 	for _, state := range l.Control.AllStates(l.Control.States(l.Host.Open()), now) {
 		if state.Service != r.Service {
 			continue
 		}
-		out.OldOpen += int(state.Open)
+		out.OpenOnReplaced += int(state.Open)
 		if state.Order == r.Order && state.Phase == r.Phase {
 			following += state.Instances
 		}
 	}
-	out.Following = following >= int64(l.Host.Instances())
-	if out.OldOpen > 0 || r.Phase != rollout.Shift {
-		s.emptyAt = time.Time{}
+	out.AllFollow = following >= int64(l.Host.Instances())
+	if out.OpenOnReplaced > 0 || r.Phase != rollout.Shift {
+		s.drainedSince = time.Time{}
 		return out
 	}
-	if s.emptyAt.IsZero() {
-		s.emptyAt = now
+	if s.drainedSince.IsZero() {
+		s.drainedSince = now
 	}
-	out.EmptyFor = now.Sub(s.emptyAt)
+	out.DrainedFor = now.Sub(s.drainedSince)
 	return out
 }
 
@@ -222,7 +222,7 @@
 func (l *Leader) logDecision(c event.Code, r rollout.Record, v rollout.Verdict, more ...zap.Field) {
 	l.Host.Event(c, append([]zap.Field{
 		zap.String("service", r.Service), zap.Int64("order", int64(r.Order)), zap.String("target", r.Target), zap.String("phase", string(r.Phase)),
-		zap.String("why", r.Why), zap.Int64("seen", v.Seen), zap.Int64("ended", v.Ended), zap.Int64("failed", v.Failures),
-		zap.Float64("evidence", v.Evidence), zap.String("sign", v.Sign), zap.Time("deadline", r.Deadline),
+		zap.String("why", r.Why), zap.Int64("seen", v.Started), zap.Int64("ended", v.Ended), zap.Int64("failed", v.Failures),
+		zap.Float64("evidence", v.Evidence), zap.String("sign", v.Indicator), zap.Time("deadline", r.Deadline),
 	}, more...)...)
 }
--- a/internal/rollctl/rollctl.go
+++ b/internal/rollctl/rollctl.go
@@ -22,10 +22,10 @@
 	"github.com/shelfcrank/shelfcrank/internal/tally"
 )
 
-// permitFor is how long a permit of the leader lasts at the instance that learns of it.
+// permitTTL is how long a permit of the leader lasts at the instance that learns of it.
 // With the 1.5 s that it may take through the hubs, the last request reaches a bad
 // version 3.5 s after the leader has stopped; 5 s are allowed.
-const permitFor = 2 * time.Second
+const permitTTL = 2 * time.Second
 
 // Control is an instance's part in all roll-outs.
 type Control struct {
@@ -33,24 +33,24 @@
 	bound rollout.Bound
 	self  tally.Source
 
-	mu       sync.Mutex
-	random   *rand.Rand                        // guarded by mu
-	services map[string]*service               // guarded by mu
-	own      rollout.Counts                    // of this instance; guarded by mu
-	ledger   *tally.Ledger[rollout.Key, int64] // what hubs received of these; guarded by mu
-	reported *tally.Pool[rollout.Key, int64]   // what instances reported to this one as a hub; guarded by mu
-	others   map[source]rollout.Counts         // what other instances, or hubs for their groups, shared; guarded by mu
-	states   map[string]peerStates             // the same of what they do, by instance; guarded by mu
+	mu         sync.Mutex
+	random     *rand.Rand                        // guarded by mu
+	services   map[string]*service               // guarded by mu
+	own        rollout.Counts                    // of this instance; guarded by mu
+	ledger     *tally.Ledger[rollout.Key, int64] // what hubs received of these; guarded by mu
+	reported   *tally.Pool[rollout.Key, int64]   // what instances reported to this one as a hub; guarded by mu
+	peerCounts map[countSource]rollout.Counts    // what other instances, or hubs for their groups, shared; guarded by mu
+	states     map[string]peerStates             // the same of what they do, by instance; guarded by mu
 }
 
 // service is what is known of the roll-out of one service.
 type service struct {
-	record   rollout.Record
-	arms     rollout.Arms
-	exposure rollout.Exposure
-	timing   *rollout.Timing
-	permit   Permit
-	until    time.Time // when the permit ends
+	record      rollout.Record
+	arms        rollout.Arms
+	exposure    rollout.Exposure
+	timing      *rollout.Timing
+	permit      Permit
+	permitUntil time.Time // when the permit ends
 }
 
 // New returns the control of an instance. The clock may be nil.
@@ -58,7 +58,7 @@
 	return &Control{
 		clock: c, bound: bound, self: self, random: random, services: make(map[string]*service), own: make(rollout.Counts),
 		ledger: tally.NewLedger[rollout.Key, int64](), reported: tally.NewPool[rollout.Key, int64](),
-		others: make(map[source]rollout.Counts), states: make(map[string]peerStates),
+		peerCounts: make(map[countSource]rollout.Counts), states: make(map[string]peerStates),
 	}
 }
 
@@ -74,18 +74,18 @@
 	changed := s.record.Order != r.Order || s.record.Phase != r.Phase
 	if s.record.Order != r.Order {
 		s.exposure = rollout.NewExposure(c.bound, instances, seasoned, c.random)
-		s.permit, s.until = Permit{}, time.Time{}
-		c.forget(func(k rollout.Key) bool { return k.Service == r.Service && k.Order < r.Order })
+		s.permit, s.permitUntil = Permit{}, time.Time{}
+		c.dropCounts(func(k rollout.Key) bool { return k.Service == r.Service && k.Order < r.Order })
 	}
 	s.record, s.arms = r, arms
 	return changed
 }
 
-// forget drops the counts of orders that are over. The caller holds mu.
-func (c *Control) forget(over func(rollout.Key) bool) {
+// dropCounts drops the counts of orders that are over. The caller holds mu.
+func (c *Control) dropCounts(over func(rollout.Key) bool) {
 	drop := func(k rollout.Key, _ int64) bool { return over(k) }
 	maps.DeleteFunc(c.own, drop)
-	for _, told := range c.others {
+	for _, told := range c.peerCounts {
 		maps.DeleteFunc(told, drop)
 	}
 	c.ledger.Drop(over)
@@ -111,97 +111,99 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.services[r.Service]
-	if s == nil || s.record.Phase != rollout.Trial || now.After(s.until) || !s.exposure.Allowed() {
+	if s == nil || s.record.Phase != rollout.Trial || now.After(s.permitUntil) || !s.exposure.Allowed() {
 		return false
 	}
-	s.exposure.Sent()
+	s.exposure.CountTrial()
 	return true
 }
 
 // Watch counts how a request goes at the endpoint that was chosen for it.
 func (c *Control) Watch(k *balance.Ticket, r *balance.Request, now time.Time) {
 	if c.Enabled() {
-		k.Observe(&watcher{control: c, ticket: k, route: r.Route, size: r.Tokens, service: r.Service, sent: now})
+		k.Observe(&requestObserver{control: c, ticket: k, route: r.Route, promptTokens: r.Tokens, service: r.Service, sent: now})
 	}
 }
 
-// watcher counts one request. It implements balance.Observer.
-type watcher struct {
-	control *Control
-	ticket  *balance.Ticket
-	service string
-	route   string
-	size    int
-	sent    time.Time
-	first   time.Duration // until the first event
-	began   bool
+// requestObserver counts one request. It implements balance.Observer.
+type requestObserver struct {
+	control      *Control
+	ticket       *balance.Ticket
+	service      string
+	route        string
+	promptTokens int
+	sent         time.Time
+	timeToFirst  time.Duration // until the first event
+	started      bool
 }
 
 // Read implements balance.Observer.
-func (w *watcher) Read() {
-	w.began, w.first = true, w.control.clock.Since(w.sent)
-	w.control.began(w)
+func (w *requestObserver) Read() {
+	w.started, w.timeToFirst = true, w.control.clock.Since(w.sent)
+	w.control.countStart(w)
 }
 
 // Done implements balance.Observer.
-func (w *watcher) Done(result balance.Result) {
+func (w *requestObserver) Done(result balance.Result) {
 	if !w.ticket.Arrived() {
 		return // the endpoint never had it
 	}
-	if !w.began {
-		w.first = w.control.clock.Since(w.sent)
-		w.began = result == balance.Answered
+	if !w.started {
+		w.timeToFirst = w.control.clock.Since(w.sent)
+		w.started = result == balance.Answered
 		if result != balance.Refused {
-			w.control.began(w)
+			w.control.countStart(w)
 		}
 	}
-	w.control.ended(w, result)
+	w.control.countEnd(w, result)
 }
 
-func (w *watcher) outcome(result balance.Result) rollout.Outcome {
+func (w *requestObserver) outcome(result balance.Result) rollout.Outcome {
 	return rollout.Outcome{
-		Route: w.route, Size: w.size, First: w.first, Began: w.began, PerEvent: w.ticket.PerEvent(),
-		Judged: result == balance.Answered || result == balance.Failed, Failed: result == balance.Failed,
+		Route: w.route, PromptTokens: w.promptTokens, TimeToFirst: w.timeToFirst, Started: w.started, EventInterval: w.ticket.PerEvent(),
+		Conclusive: result == balance.Answered || result == balance.Failed, Failed: result == balance.Failed,
 	}
 }
 
 // key returns what a request is counted under, if its service has a roll-out under way.
-func (s *service) key(w *watcher) (rollout.Key, bool) {
+func (s *service) key(w *requestObserver) (rollout.Key, bool) {
 	if s.record.Order == 0 || s.record.Phase.Final() {
 		return rollout.Key{}, false
 	}
 	k := rollout.Key{Service: w.service, Order: s.record.Order, Route: w.route, Trial: w.onTrial(s)}
 	if k.Trial {
-		k.Bucket = s.arms.Group[w.ticket.Endpoint.ID]
+		k.Bucket = s.arms.Bucket[w.ticket.Endpoint.ID]
 	}
 	return k, true
 }
 
-func (w *watcher) onTrial(s *service) bool { return w.ticket.Endpoint.Version == s.record.Target }
+func (w *requestObserver) onTrial(s *service) bool {
+	return w.ticket.Endpoint.Version == s.record.Target
+}
 
-// began counts the first event of a request, or that none came.
-func (c *Control) began(w *watcher) {
+// countStart counts the first event of a request, or that none came.
+func (c *Control) countStart(w *requestObserver) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(w.service)
-	s.exposure.Arrived()
+	s.exposure.CountArrival()
 	if key, counted := s.key(w); counted {
-		s.timing.Began(c.own, key, w.outcome(balance.Cancelled))
+		s.timing.CountStart(c.own, key, w.outcome(balance.Cancelled))
 	}
 }
 
-// ended counts the end of a request, and learns from those of the version in use.
-func (c *Control) ended(w *watcher, result balance.Result) {
+// countEnd counts the end of a request, and learns from those of the version in use.
+func (c *Control) countEnd(w *requestObserver, result balance.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(w.service)
 	key, counted := s.key(w)
 	outcome := w.outcome(result)
 	if counted {
-		s.timing.Ended(c.own, key, outcome)
+		s.timing.CountEnd(c.own, key, outcome)
 	}
 	if !counted || !key.Trial {
-		s.timing.Learn(outcome)
+		s.timing.AddBaseline(outcome)
 	}
 }
 
--- a/internal/rollctl/rollctl_test.go
+++ b/internal/rollctl/rollctl_test.go
@@ -17,7 +17,7 @@
 
 func onTrial() (*Control, *balance.Request) {
 	c := New(rollout.Bound{Share: 0.1, Slack: 50}, tally.Source{Instance: "a", Incarnation: 1}, rand.New(rand.NewPCG(1, 1)), nil)
-	c.Follow(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.Trial}, rollout.Arms{Old: map[string]bool{"old": true}}, 1, true)
+	c.Follow(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.Trial}, rollout.Arms{Replaced: map[string]bool{"old": true}}, 1, true)
 	return c, &balance.Request{Service: "s", Route: "r", ID: "1"}
 }
 
@@ -40,8 +40,8 @@
 	c.Permitted(Permit{Service: "s", Order: 4, Number: 9}, begin)
 	is.True(!c.Try(r, begin)) // one of an earlier order
 	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin)
-	is.True(c.Try(r, begin.Add(permitFor)))
-	is.True(!c.Try(r, begin.Add(permitFor+1)))
+	is.True(c.Try(r, begin.Add(permitTTL)))
+	is.True(!c.Try(r, begin.Add(permitTTL+1)))
 	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin.Add(time.Minute))
 	is.True(!c.Try(r, begin.Add(time.Minute))) // the same one, passed on late
 	c.Permitted(Permit{Service: "s", Order: 5, Number: 2}, begin.Add(time.Minute))
@@ -81,11 +81,11 @@
 		other.Apply(AsHub, hubRun, hub.Group())
 		instance.Apply(ByHubs, tally.Source{}, hub.AllCounts())
 	}
-	is.Equal(hub.Total(AsHub, "s", 5)[begun], int64(7))
-	is.Equal(other.Total(AsHub, "s", 5)[begun], int64(7))
-	is.Equal(instance.Total(ByHubs, "s", 5)[begun], int64(7))
-	is.Equal(instance.Total(Peers, "s", 5)[begun], int64(7))
-	is.Equal(len(other.Total(AsHub, "s", 6)), 0)
+	is.Equal(hub.TotalCounts(AsHub, "s", 5)[begun], int64(7))
+	is.Equal(other.TotalCounts(AsHub, "s", 5)[begun], int64(7))
+	is.Equal(instance.TotalCounts(ByHubs, "s", 5)[begun], int64(7))
+	is.Equal(instance.TotalCounts(Peers, "s", 5)[begun], int64(7))
+	is.Equal(len(other.TotalCounts(AsHub, "s", 6)), 0)
 }
 
 // With the order's successor the counts of the order go.
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -8,71 +8,71 @@
 	"github.com/shelfcrank/shelfcrank/internal/tally"
 )
 
-// What is counted of the requests of a roll-out.
+// Counter is what is counted of the requests to a service that is rolled out.
 type What uint8
 
-// The counts. A request that is answered at once begins and ends at the same moment.
+// The counters. A request that is not answered by a stream starts and ends at the same time.
 const (
-	Begun  What = iota // first events and answers
-	Late               // of these, that took several times as long as the old version's usually do
-	Ended              // requests that came to an end
-	Failed             // of these, that the endpoint failed or broke off
-	Paced              // of these, whose events came several times as slowly as usual
+	Begun  What = iota // requests whose first event or answer came, or that ended without one after a slow time
+	Late               // of these, slower than slowFactor times the old version's median
+	Ended              // requests that ended with a conclusive outcome
+	Failed             // of these, failed or cut off by the endpoint
+	Paced              // of these, streams with events slower than slowFactor times the old version's median
 )
 
-// Buckets is the number of groups that the endpoints on trial are counted in. One sick
-// endpoint shows in one group, a bad version in all.
+// Buckets is the number of groups into which the endpoints of the target are divided for counting.
+// A single faulty endpoint affects one group, a bad version all.
 const Buckets = 8
 
-// Key names a count.
+// Key identifies a count.
 type Key struct {
 	Service string
-	Order   store.Revision // of the order
+	Order   store.Revision // revision of the order
 	Route   string
-	Trial   bool  // of the version on trial, else of the old one
-	Bucket  uint8 // of the endpoint; 0 for the old version
+	Trial   bool  // counted at the version on trial, else at the old one
+	Bucket  uint8 // group of the endpoint; 0 for the old version
 	What    What
 }
 
-// Counts are running totals since the order.
+// Counts are running totals since the order was first seen.
 type Counts = tally.Counts[Key, int64]
 
-// Outcome is how one request went at its endpoint.
+// Outcome is the outcome of one request at its endpoint.
 type Outcome struct {
-	Route    string
-	Size     int           // prompt tokens; 0 where that does not matter
-	First    time.Duration // from sending to the first event or the answer; until it ended if none came
-	Began    bool          // a first event or answer came
-	Judged   bool          // it ended by the endpoint's doing, or the time it had
-	Failed   bool
-	PerEvent time.Duration // between two events on the mean; 0 if there were too few
+	Route         string
+	PromptTokens  int           // 0 for requests without a prompt
+	TimeToFirst   time.Duration // from sending the request to the first event or the answer, or to its end if none came
+	Started       bool          // the first event or the answer came
+	Conclusive    bool          // the endpoint answered, failed or did not answer in time; false if it refused the request or the caller gave up
+	Failed        bool
+	EventInterval time.Duration // mean time between two events; 0 if there were too few
 }
 
-// What counts as slow.
+// Parameters of the comparison with the old version's times.
 const (
-	// slowTimes is how many times the usual time counts as slow. A bad version is
-	// several times as slow; an endpoint that is merely full takes up to twice.
-	slowTimes = 2.5
-	// leastSeen is how many times the old version's time has to be known for until
-	// others are compared with it.
-	leastSeen = 8
-	// medianStep is the step by which the median moves with each time, as a share.
+	// slowFactor is the multiple of the median from which a time counts as slow. A bad version is
+	// several times as slow; an endpoint that is merely loaded to its limit takes up to twice as long.
+	slowFactor = 2.5
+	// minSamples is the number of samples from which a median is used.
+	minSamples = 8
+	// medianStep is the factor, less 1, by which a sample moves the median, once there are enough.
 	medianStep = 0.04
 )
 
-// median follows the median of times by small steps.
+// median estimates a running median: each sample moves the estimate by a small factor towards
+// itself.
 type median struct {
-	value float64
-	seen  int
+	value   float64 // in nanoseconds
+	samples int
 }
 
 func (m *median) add(x time.Duration) {
-	m.seen++
+	m.samples++
 	if m.value == 0 {
 		m.value = float64(x)
 		return
 	}
-	step := max(medianStep, 1/float64(1+m.seen))
+	step := max(medianStep, 1/float64(1+m.samples))
 	if float64(x) > m.value {
 		m.value *= 1 + step
 	} else {
@@ -80,27 +80,31 @@
 	}
 }
 
+// slow reports whether x is slow. Nothing is before there are minSamples samples.
 func (m *median) slow(x time.Duration) bool {
-	return m.seen >= leastSeen && float64(x) > slowTimes*m.value
+	return m.samples >= minSamples && float64(x) > slowFactor*m.value
 }
 
-type timeKey struct {
-	route string
-	size  int  // power of two of the prompt
-	pace  bool // between events
+// medianKey identifies a median.
+type medianKey struct {
+	route         string
+	sizeClass     int  // bit length of the number of prompt tokens; 0 for intervals
+	eventInterval bool // of the intervals between events, else of the time to the first event
 }
 
-// Timing learns how long an instance's requests usually take at one service, by route
-// and length of the prompt.
-type Timing struct{ medians map[timeKey]*median }
+// Timing holds the median times of one instance's requests to one service, by route and size of
+// the prompt.
+type Timing struct{ medians map[medianKey]*median }
 
-// NewTiming returns a timing that has seen nothing.
-func NewTiming() *Timing { return &Timing{medians: make(map[timeKey]*median)} }
+// NewTiming returns a timing without samples.
+func NewTiming() *Timing { return &Timing{medians: make(map[medianKey]*median)} }
 
-func (t *Timing) of(o Outcome, pace bool) *median {
-	key := timeKey{route: o.Route, pace: pace}
-	if !pace {
-		key.size = bits.Len(uint(o.Size))
+// medianFor returns the median that an outcome is compared with: of the intervals between events,
+// or of the time to the first event.
+func (t *Timing) medianFor(o Outcome, eventInterval bool) *median {
+	key := medianKey{route: o.Route, eventInterval: eventInterval}
+	if !eventInterval {
+		key.sizeClass = bits.Len(uint(o.PromptTokens))
 	}
 	m := t.medians[key]
 	if m == nil {
@@ -110,39 +114,41 @@
 	return m
 }
 
-// Learn takes an outcome at an endpoint of the version in use.
-func (t *Timing) Learn(o Outcome) {
-	if o.Began && !o.Failed {
-		t.of(o, false).add(o.First)
+// AddBaseline adds an outcome at an endpoint of the old version to the medians.
+func (t *Timing) AddBaseline(o Outcome) {
+	if o.Started && !o.Failed {
+		t.medianFor(o, false).add(o.TimeToFirst)
 	}
-	if o.PerEvent > 0 {
-		t.of(o, true).add(o.PerEvent)
+	if o.EventInterval > 0 {
+		t.medianFor(o, true).add(o.EventInterval)
 	}
 }
 
-// Began counts the first event or the answer of a request, or that none came for long.
-func (t *Timing) Began(c Counts, k Key, o Outcome) {
-	slow := t.of(o, false).slow(o.First)
-	if !o.Began && !slow {
-		return // it ended before that could be known
+// CountStart counts the first event or the answer of a request, or a request that ended without one
+// after a time that counts as slow.
+func (t *Timing) CountStart(c Counts, k Key, o Outcome) {
+	slow := t.medianFor(o, false).slow(o.TimeToFirst)
+	if !o.Started && !slow {
+		return // it ended too early to be counted as slow
 	}
 	count(c, k, Begun, true)
 	count(c, k, Late, slow)
 }
 
-// Ended counts the end of a request.
-func (t *Timing) Ended(c Counts, k Key, o Outcome) {
-	if !o.Judged {
+// CountEnd counts the end of a request, if its outcome is conclusive.
+func (t *Timing) CountEnd(c Counts, k Key, o Outcome) {
+	if !o.Conclusive {
 		return
 	}
 	count(c, k, Ended, true)
 	count(c, k, Failed, o.Failed)
-	count(c, k, Paced, o.PerEvent > 0 && t.of(o, true).slow(o.PerEvent))
+	count(c, k, Paced, o.EventInterval > 0 && t.medianFor(o, true).slow(o.EventInterval))
 }
 
-func count(c Counts, k Key, what What, happened bool) {
-	if happened {
-		k.What = what
+// count adds one to a counter of k if the condition holds.
+func count(c Counts, k Key, counter What, condition bool) {
+	if condition {
+		k.What = counter
 		c[k]++
 	}
 }
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -2,38 +2,38 @@
 
 import "math/rand/v2"
 
-// Bound is how much of a service's requests a version may get that turns out bad.
+// Bound limits how many requests of a service may reach a version that turns out to be bad.
 type Bound struct {
 	Share float64 // of all requests that reach the service
-	Slack float64 // requests beside, over all instances
+	Slack float64 // number of requests on top of the share, over all instances
 }
 
-// exposureMargin is the part of the allowed share that a trial uses. What an instance
-// sent and does not know to have arrived, and requests that arrived just before the
-// order, are in the rest.
+// exposureMargin is the part of the allowed share that a trial uses. The rest covers requests that
+// an instance sent but does not know to have arrived, and requests that arrived just before the
+// order.
 const exposureMargin = 0.8
 
-// TrialShare returns the share of the requests that a trial gets.
+// TrialShare returns the share of the requests that the version on trial gets.
 func (b Bound) TrialShare() float64 { return exposureMargin * b.Share }
 
-// Exposure keeps one instance to its part of the bound. Each counts only what it sent
-// itself, so that the sum over all instances keeps to the bound whatever they learn of
-// each other and when: a share of each one's own requests is that share of all.
+// Exposure limits the requests that one instance sends to the version on trial. It counts only that
+// instance's own requests. If each instance keeps to a share of its own requests, all together keep
+// to that share of all, whatever the instances know of each other.
 type Exposure struct {
 	bound  Bound
-	credit float64 // requests that may be sent before the share allows them, under 1
+	credit float64 // requests that may be sent before the share allows them, less than 1
 	all    int     // requests that reached the service
 	trial  int     // requests sent to the version on trial
 }
 
-// NewExposure returns the exposure of one of so many instances that has sent nothing
-// yet. The credits of all sum up to half of the slack, so that the first requests of a
-// trial come at once and not when each of many instances has served a dozen. seasoned
-// is false at an instance that began after the order: it may have used its credit
-// before it was restarted.
-func NewExposure(b Bound, instances int, seasoned bool, random *rand.Rand) Exposure {
+// NewExposure returns the exposure, without any requests, of one of a number of instances. It has a
+// random credit, so that the first requests reach the version on trial at once, instead of after
+// each of many instances has served a dozen; the credits of all instances add up to half of the
+// slack on average. An instance that started after the order (startedBefore is false) has no
+// credit, because it may have used it before a restart.
+func NewExposure(b Bound, instances int, startedBefore bool, random *rand.Rand) Exposure {
 	e := Exposure{bound: b}
-	if seasoned {
+	if startedBefore {
 		e.credit = random.Float64() * min(1, b.Slack/float64(max(1, instances)))
 	}
 	return e
@@ -44,8 +44,8 @@
 	return float64(e.trial+1) <= e.bound.TrialShare()*float64(e.all)+e.credit
 }
 
-// Arrived counts a request that reached an endpoint of either version.
-func (e *Exposure) Arrived() { e.all++ }
+// CountArrival counts a request that reached an endpoint of either version.
+func (e *Exposure) CountArrival() { e.all++ }
 
-// Sent counts a request that is about to be sent to the version on trial.
-func (e *Exposure) Sent() { e.trial++ }
+// CountTrial counts a request that is about to be sent to the version on trial.
+func (e *Exposure) CountTrial() { e.trial++ }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -5,142 +5,143 @@
 	"slices"
 )
 
-// Terms of the verdict. The false verdicts that it comes to are counted by
-// TestFalseVerdicts.
+// Parameters of the verdict. TestFalseVerdicts bounds the rate of false verdicts.
 const (
-	// alarm is the sum of the logarithms of likelihood ratios from which a version is
-	// bad: the higher it is, the seldomer a good one is taken for a bad one, and the
-	// more requests a bad one gets until it is found out.
-	alarm = 4.0
-	// usualTimes is how many times the old version's share of failures is still taken
-	// to be good: shares of a few hundred requests waver.
-	usualTimes = 1.5
-	// forget is the share of the old version's counts that is kept from one look to
-	// the next one: it is compared with what it did at the same moments, over some 3 s.
-	forget = 0.9
+	// badThreshold is the sum of log-likelihood ratios from which a version is bad. With a higher
+	// threshold fewer good versions are found bad, but a bad one gets more requests until it is.
+	badThreshold = 4.0
+	// goodShareFactor is the multiple of the old version's share of bad requests that is still good.
+	// It allows for the variance of shares of a few hundred requests.
+	goodShareFactor = 1.5
+	// baselineDecay is the part of the old version's counts that is kept from one evaluation to the
+	// next. At one evaluation in 0.3 s the baseline covers some 3 s, so that both versions are
+	// compared over the same time.
+	baselineDecay = 0.9
 )
 
-// sign is a way in which a version can be bad: a share of requests that is larger than
-// the old version's.
-type sign struct {
-	of, bad What
-	least   float64 // share that is taken to be good whatever the old version does
-	worse   float64 // by how much a bad version's share is larger
+// indicator is a share of bad requests by which the versions are compared.
+type indicator struct {
+	total, bad   What
+	minGoodShare float64 // a share up to this is good whatever the old version's is
+	badMargin    float64 // difference between the share of a bad version and a good one
 }
 
-var signs = []sign{
+var indicators = []indicator{
 	{Ended, Failed, 0.02, 0.10},
 	{Begun, Late, 0.10, 0.25},
 	{Ended, Paced, 0.10, 0.25},
 }
 
-// Verdict is a judgement on the version on trial.
+// Verdict is the result of comparing the version on trial with the old one.
 type Verdict struct {
-	Bad      bool
-	Doubtful bool    // it may be bad: more has to be seen
-	Seen     int64   // first events and answers of the version on trial
-	Ended    int64   // requests of it that came to an end
-	Failures int64   // of these, that failed
-	Evidence float64 // highest sum of all signs; bad from alarm on
-	Sign     string  // the sign, and the route that it was seen on if on one only
+	Bad       bool
+	Doubtful  bool    // the evidence is at least a third of badThreshold
+	Started   int64   // requests of the version on trial counted as Started
+	Ended     int64   // requests of the version on trial counted as Ended
+	Failures  int64   // of these, that failed
+	Evidence  float64 // highest evidence over all indicators and routes; the version is bad from badThreshold on
+	Indicator string  // indicator with the highest evidence, and the route unless it is over all routes
 }
 
+// cell identifies a cumulative sum.
 type cell struct {
-	route  string // "" for all together
-	sign   int
-	bucket uint8
+	route     string // "" for all routes together
+	indicator int    // index in indicators
+	bucket    uint8  // group of endpoints
 }
 
-type baseKey struct {
-	route string
-	sign  int
+// baselineKey identifies a baseline.
+type baselineKey struct {
+	route     string // "" for all routes together
+	indicator int    // index in indicators
 }
 
-// base is what the old version did of late.
-type base struct{ of, bad float64 }
+// baseline is the old version's recent counts of one indicator, decayed over time.
+type baseline struct{ total, bad float64 }
 
-// share returns the share that is taken to be good.
-func (b base) share(s sign) float64 {
-	// One more of each than was seen: nothing seen is no proof.
-	return min(0.9, max(s.least, usualTimes*(b.bad+0.5)/(b.of+10)))
+// goodShare returns the largest share of bad requests at which a version is good.
+func (b baseline) goodShare(ind indicator) float64 {
+	// The added half of a bad request in ten keeps the share of few requests from being near 0.
+	return min(0.9, max(ind.minGoodShare, goodShareFactor*(b.bad+0.5)/(b.total+10)))
 }
 
-// Judge compares the two versions of one roll-out, look by look. For each sign, route
-// and group of endpoints it keeps a cumulative sum that never falls below zero
-// (CUSUM), so that a version that turns bad after a while is found as soon as one that
-// is bad at once.
+// Judge compares the two versions of one roll-out, evaluation by evaluation. For each indicator,
+// route and group of endpoints it keeps a cumulative sum of log-likelihood ratios that never falls
+// below zero (CUSUM). A version that turns bad after a while is then found as soon as one that is
+// bad from the start.
 type Judge struct {
-	last   Counts
-	base   map[baseKey]base
-	sums   map[cell]float64
-	frozen bool // nothing runs on the old version any more
+	last      Counts
+	baselines map[baselineKey]baseline
+	sums      map[cell]float64
+	frozen    bool // the baselines stay as they are
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without any counts.
 func NewJudge() *Judge {
-	return &Judge{last: make(Counts), base: make(map[baseKey]base), sums: make(map[cell]float64)}
+	return &Judge{last: make(Counts), baselines: make(map[baselineKey]baseline), sums: make(map[cell]float64)}
 }
 
-// Freeze makes the judge compare with what the old version did until now, for it gets
-// no new requests.
-func (j *Judge) Freeze() { j.frozen = true }
+// FreezeBaseline keeps the baselines as they are from now on, because the old version gets no more
+// new requests.
+func (j *Judge) FreezeBaseline() { j.frozen = true }
 
-// Look takes the totals of all instances for one order and returns the verdict. Totals
-// that went down, as when an instance that counted is gone, say nothing.
-func (j *Judge) Look(total Counts) Verdict {
-	news := make(map[Key]float64, len(total))
+// Evaluate takes the totals of all instances for one order and returns the verdict. A total that
+// fell, as when an instance that counted is gone, is ignored until it exceeds its highest value.
+func (j *Judge) Evaluate(total Counts) Verdict {
+	increments := make(map[Key]float64, len(total))
 	for key, n := range total {
 		if d := n - j.last[key]; d > 0 {
-			news[key] = float64(d)
+			increments[key] = float64(d)
 		}
 		j.last[key] = max(n, j.last[key])
 	}
 	if !j.frozen {
-		j.learn(news)
+		j.updateBaseline(increments)
 	}
-	j.weigh(news)
+	j.updateSums(increments)
 	return j.verdict(total)
 }
 
-// learn takes what the old version did since the last look.
-func (j *Judge) learn(news map[Key]float64) {
-	for key, b := range j.base {
-		j.base[key] = base{forget * b.of, forget * b.bad}
+// updateBaseline decays the baselines and adds the old version's counts since the last evaluation.
+func (j *Judge) updateBaseline(increments map[Key]float64) {
+	for key, b := range j.baselines {
+		j.baselines[key] = baseline{baselineDecay * b.total, baselineDecay * b.bad}
 	}
-	for key, n := range news {
+	for key, n := range increments {
 		if key.Trial {
 			continue
 		}
-		for i, s := range signs {
+		for i, ind := range indicators {
 			for _, route := range []string{"", key.Route} {
-				b := j.base[baseKey{route, i}]
+				b := j.baselines[baselineKey{route, i}]
 				switch key.What {
-				case s.of:
-					b.of += n
-				case s.bad:
+				case ind.total:
+					b.total += n
+				case ind.bad:
 					b.bad += n
 				}
-				j.base[baseKey{route, i}] = b
+				j.baselines[baselineKey{route, i}] = b
 			}
 		}
 	}
 }
 
-// weigh adds what the version on trial did since the last look to the sums.
-func (j *Judge) weigh(news map[Key]float64) {
-	type seen struct{ of, bad float64 }
-	cells := make(map[cell]seen)
-	for key, n := range news {
+// updateSums adds the log-likelihood ratios of the trial version's counts since the last evaluation
+// to the cumulative sums.
+func (j *Judge) updateSums(increments map[Key]float64) {
+	type shareCounts struct{ total, bad float64 }
+	cells := make(map[cell]shareCounts)
+	for key, n := range increments {
 		if !key.Trial {
 			continue
 		}
-		for i, s := range signs {
+		for i, ind := range indicators {
 			for _, route := range []string{"", key.Route} {
 				c := cells[cell{route, i, key.Bucket}]
 				switch key.What {
-				case s.of:
-					c.of += n
-				case s.bad:
+				case ind.total:
+					c.total += n
+				case ind.bad:
 					c.bad += n
 				}
 				cells[cell{route, i, key.Bucket}] = c
@@ -148,25 +149,25 @@
 		}
 	}
 	for c, x := range cells {
-		s := signs[c.sign]
-		good := j.base[baseKey{c.route, c.sign}].share(s)
-		bad := min(0.95, good+s.worse)
-		fine := max(0, x.of-x.bad)
-		ratio := x.bad*math.Log(bad/good) + fine*math.Log((1-bad)/(1-good))
+		ind := indicators[c.indicator]
+		good := j.baselines[baselineKey{c.route, c.indicator}].goodShare(ind)
+		bad := min(0.95, good+ind.badMargin)
+		rest := max(0, x.total-x.bad)
+		ratio := x.bad*math.Log(bad/good) + rest*math.Log((1-bad)/(1-good))
 		j.sums[c] = max(0, j.sums[c]+ratio)
 	}
 }
 
-// verdict sums each sign over that half of the groups of endpoints which show it least:
-// endpoints that are sick for reasons of their own make no bad version, up to a half of
-// the groups.
+// verdict returns the verdict. The evidence of an indicator is its sum over the half of the groups
+// of endpoints with the lowest sums. So faulty endpoints in up to half of the groups do not make a
+// good version bad.
 func (j *Judge) verdict(total Counts) Verdict {
 	var v Verdict
 	for key, n := range total {
 		if key.Trial {
 			switch key.What {
 			case Begun:
-				v.Seen += n
+				v.Started += n
 			case Ended:
 				v.Ended += n
 			case Failed:
@@ -174,27 +175,28 @@
 			}
 		}
 	}
-	groups := make(map[baseKey][]float64)
+	groups := make(map[baselineKey][]float64)
 	for c, sum := range j.sums {
-		key := baseKey{c.route, c.sign}
+		key := baselineKey{c.route, c.indicator}
 		groups[key] = append(groups[key], sum)
 	}
 	for key, sums := range groups {
 		slices.Sort(sums)
-		counted := (len(sums) + 1) / 2
+		half := (len(sums) + 1) / 2
 		evidence := 0.0
-		for _, sum := range sums[:counted] {
+		for _, sum := range sums[:half] {
 			evidence += sum
 		}
 		if evidence > v.Evidence {
-			v.Evidence, v.Sign = evidence, signNames[key.sign]
+			v.Evidence, v.Indicator = evidence, indicatorNames[key.indicator]
 			if key.route != "" {
-				v.Sign += " on " + key.route
+				v.Indicator += " on " + key.route
 			}
 		}
 	}
-	v.Bad, v.Doubtful = v.Evidence >= alarm, v.Evidence >= alarm/3
+	v.Bad, v.Doubtful = v.Evidence >= badThreshold, v.Evidence >= badThreshold/3
 	return v
 }
 
-var signNames = []string{"failures", "late first events", "slow streams"}
+// indicatorNames are the names of indicators, in the same order.
+var indicatorNames = []string{"failures", "late first events", "slow streams"}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,9 +14,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Whatever share of the requests each instance gets, however often instances are
-// restarted and whatever they believe of the size of the fleet, all of them together
-// keep to the bound.
+// All instances together must keep to the bound, whatever share of the requests each one gets and
+// however often instances are restarted.
 func TestExposureOfAllInstancesKeepsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := Bound{Share: rapid.Float64Range(0.01, 0.3).Draw(t, "share"), Slack: rapid.Float64Range(0, 100).Draw(t, "slack")}
@@ -34,10 +33,10 @@
 			}
 			e := &instances[i]
 			if e.Allowed() {
-				e.Sent()
+				e.CountTrial()
 				trial++
 			}
-			e.Arrived()
+			e.CountArrival()
 			all++
 		}
 		if float64(trial) > bound.Share*float64(all)+bound.Slack {
@@ -53,13 +52,13 @@
 	for range 78 {
 		e := NewExposure(Bound{Share: 0.1, Slack: 50}, 78, true, random)
 		for range 8 {
-			e.Arrived()
+			e.CountArrival()
 		}
 		if e.Allowed() {
 			sent++
 		}
 	}
-	is.True(sent >= 20) // after eight requests each, of which the share alone allows none
+	is.True(sent >= 20) // after eight requests each, the share without the credit allows none
 }
 
 func endpoints(version string, n int) []registry.Endpoint {
@@ -70,10 +69,10 @@
 	return out
 }
 
-func versionsOf(servers []registry.Endpoint) map[string]int {
+func countByVersion(endpoints []registry.Endpoint) map[string]int {
 	out := make(map[string]int)
-	for _, s := range servers {
-		out[s.Version]++
+	for _, e := range endpoints {
+		out[e.Version]++
 	}
 	return out
 }
@@ -86,14 +85,14 @@
 	for name, c := range map[string]struct {
 		order       *Order
 		last        *Record
-		servers     []registry.Endpoint
-		unproved    string
+		available   []registry.Endpoint
+		unconfirmed string
 		main, trial map[string]int
 	}{
 		"no order":              {nil, nil, all, "", map[string]int{"v1": 60, "v2": 60, "v3": 4}, nil},
 		"new version, no proof": {nil, nil, all, "v3", map[string]int{"v1": 60, "v2": 60}, nil},
 		"only one, no proof":    {nil, nil, endpoints("v3", 4), "v3", map[string]int{"v3": 4}, nil},
-		// As many endpoints are on trial as get the trial's share at the load of the others.
+		// The number of endpoints on trial is the trial's share of the others' number.
 		"on trial":                      {order("v2", 5), nil, all[:120], "", map[string]int{"v1": 60}, map[string]int{"v2": 5}},
 		"on trial, the old unproved":    {order("v2", 5), nil, all[:120], "v1", map[string]int{"v1": 60}, map[string]int{"v2": 5}},
 		"order before its endpoints":    {order("v4", 5), nil, all[:60], "", map[string]int{"v1": 60}, nil},
@@ -111,12 +110,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r, _ := Current(c.order, c.last)
-			arms := Divide(c.servers, r, 0.08, func(v string) bool { return v == c.unproved })
-			is.Equal(versionsOf(arms.Main), c.main)
+			arms := Divide(c.available, r, 0.08, func(v string) bool { return v == c.unconfirmed })
+			is.Equal(countByVersion(arms.Main), c.main)
 			if c.trial == nil {
 				c.trial = make(map[string]int)
 			}
-			is.Equal(versionsOf(arms.Trial), c.trial)
+			is.Equal(countByVersion(arms.Trial), c.trial)
 		})
 	}
 }
@@ -126,31 +125,31 @@
 	at := func(s float64) time.Time { return begin.Add(time.Duration(s * float64(time.Second))) }
 	trial := Begin(Order{Service: "s", Target: "v2", Revision: 1, Window: 10 * time.Second}, nil, begin)
 	shift := trial.shifted("", at(5))
-	seen := func(n int64) Verdict { return Verdict{Seen: n} }
+	seen := func(n int64) Verdict { return Verdict{Started: n} }
 	for name, c := range map[string]struct {
 		r    Record
-		s    Standing
+		s    Observation
 		want Phase
 	}{
-		"good, but early":              {trial, Standing{Now: at(4), Verdict: seen(500), Targets: 9, Others: 9}, Trial},
-		"good":                         {trial, Standing{Now: at(4.6), Verdict: seen(100), Targets: 9, Others: 9}, Shift},
-		"bad early":                    {trial, Standing{Now: at(1), Verdict: Verdict{Bad: true}, Targets: 9, Others: 9}, RolledBack},
-		"doubtful, there is time":      {trial, Standing{Now: at(5), Verdict: Verdict{Seen: 100, Doubtful: true}, Targets: 9, Others: 9}, Trial},
-		"doubtful to the end":          {trial, Standing{Now: at(7.1), Verdict: Verdict{Seen: 100, Doubtful: true}, Targets: 9, Others: 9}, RolledBack},
-		"few requests, there is time":  {trial, Standing{Now: at(6), Verdict: seen(20), Targets: 9, Others: 9}, Trial},
-		"few requests at the end":      {trial, Standing{Now: at(7.1), Verdict: seen(20), Targets: 9, Others: 9}, Shift},
-		"hardly any, before the end":   {trial, Standing{Now: at(9), Verdict: seen(3), Targets: 9, Others: 9}, Trial},
-		"nobody asked it":              {trial, Standing{Now: at(10.1), Verdict: seen(3), Targets: 9, Others: 9}, RolledBack},
-		"no endpoints ever":            {trial, Standing{Now: at(10.1), Others: 9}, RolledBack},
-		"all have it already":          {trial, Standing{Now: at(0.3), Targets: 9}, Completed},
-		"some run on the old one":      {shift, Standing{Now: at(7), Targets: 9, Others: 9, OldOpen: 1, Following: true}, Shift},
-		"just ended":                   {shift, Standing{Now: at(7), Targets: 9, Others: 9, Following: true, EmptyFor: settle / 2}, Shift},
-		"not all follow":               {shift, Standing{Now: at(7), Targets: 9, Others: 9, EmptyFor: settle}, Shift},
-		"nothing runs on the old one":  {shift, Standing{Now: at(7), Targets: 9, Others: 9, Following: true, EmptyFor: settle}, Completed},
-		"those not heard of are given": {shift, Standing{Now: at(9.5), Targets: 9, Others: 9, EmptyFor: settle}, Completed},
-		"a stream outlasts the window": {shift, Standing{Now: at(14), Targets: 9, Others: 9, OldOpen: 1, Following: true}, Shift},
-		"bad in the shift":             {shift, Standing{Now: at(7), Verdict: Verdict{Bad: true}, Targets: 9, Others: 9}, RolledBack},
-		"targets are gone":             {shift, Standing{Now: at(7), Others: 9, Following: true, EmptyFor: settle}, Shift},
+		"good, but early":              {trial, Observation{Now: at(4), Verdict: seen(500), Targets: 9, Others: 9}, Trial},
+		"good":                         {trial, Observation{Now: at(4.6), Verdict: seen(100), Targets: 9, Others: 9}, Shift},
+		"bad early":                    {trial, Observation{Now: at(1), Verdict: Verdict{Bad: true}, Targets: 9, Others: 9}, RolledBack},
+		"doubtful, there is time":      {trial, Observation{Now: at(5), Verdict: Verdict{Started: 100, Doubtful: true}, Targets: 9, Others: 9}, Trial},
+		"doubtful to the end":          {trial, Observation{Now: at(7.1), Verdict: Verdict{Started: 100, Doubtful: true}, Targets: 9, Others: 9}, RolledBack},
+		"few requests, there is time":  {trial, Observation{Now: at(6), Verdict: seen(20), Targets: 9, Others: 9}, Trial},
+		"few requests at the end":      {trial, Observation{Now: at(7.1), Verdict: seen(20), Targets: 9, Others: 9}, Shift},
+		"hardly any, before the end":   {trial, Observation{Now: at(9), Verdict: seen(3), Targets: 9, Others: 9}, Trial},
+		"nobody asked it":              {trial, Observation{Now: at(10.1), Verdict: seen(3), Targets: 9, Others: 9}, RolledBack},
+		"no endpoints ever":            {trial, Observation{Now: at(10.1), Others: 9}, RolledBack},
+		"all have it already":          {trial, Observation{Now: at(0.3), Targets: 9}, Completed},
+		"some run on the old one":      {shift, Observation{Now: at(7), Targets: 9, Others: 9, OpenOnReplaced: 1, AllFollow: true}, Shift},
+		"just ended":                   {shift, Observation{Now: at(7), Targets: 9, Others: 9, AllFollow: true, DrainedFor: drainConfirm / 2}, Shift},
+		"not all follow":               {shift, Observation{Now: at(7), Targets: 9, Others: 9, DrainedFor: drainConfirm}, Shift},
+		"nothing runs on the old one":  {shift, Observation{Now: at(7), Targets: 9, Others: 9, AllFollow: true, DrainedFor: drainConfirm}, Completed},
+		"those not heard of are given": {shift, Observation{Now: at(9.5), Targets: 9, Others: 9, DrainedFor: drainConfirm}, Completed},
+		"a stream outlasts the window": {shift, Observation{Now: at(14), Targets: 9, Others: 9, OpenOnReplaced: 1, AllFollow: true}, Shift},
+		"bad in the shift":             {shift, Observation{Now: at(7), Verdict: Verdict{Bad: true}, Targets: 9, Others: 9}, RolledBack},
+		"targets are gone":             {shift, Observation{Now: at(7), Others: 9, AllFollow: true, DrainedFor: drainConfirm}, Shift},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -162,8 +161,8 @@
 	for _, phase := range []Phase{Completed, RolledBack} {
 		r := trial
 		r.Phase = phase
-		_, changed := Next(r, Standing{Now: at(30), Verdict: Verdict{Bad: true}})
-		is.New(t).True(!changed) // what is over stays as it is
+		_, changed := Next(r, Observation{Now: at(30), Verdict: Verdict{Bad: true}})
+		is.New(t).True(!changed) // a final record does not change
 	}
 }
 
