--- a/internal/rollctl/exchange.go
+++ b/internal/rollctl/exchange.go
@@ -9,33 +9,35 @@
 	"github.com/shelfcrank/shelfcrank/internal/tally"
 )
 
-// Permit is the leader's word that a trial goes on. A later one of an order has a
-// higher number.
+// Permit is the leader's permission to send requests to a version on trial. A later permit of the
+// same order has a higher number.
 type Permit struct {
 	Service string
 	Order   store.Revision
 	Number  int64
 }
 
-// State is what instances do in a roll-out.
+// State sums what one or more instances report of a roll-out: those that have the order in this
+// phase.
 type State struct {
 	Service   string
-	Order     store.Revision
+	Order     store.Revision // revision of the order
 	Phase     rollout.Phase
-	Open      int64 // requests that run on endpoints which the target replaces
-	Instances int64 // that say so
+	Open      int64 // open requests on endpoints that the target replaces
+	Instances int64 // number of instances in the sum
 }
 
-// peerStates is what an instance, or a hub for its group, last reported.
+// peerStates are the states that an instance, or a hub for its group, last reported.
 type peerStates struct {
 	states []State
-	at     time.Time
+	at     time.Time // when they were received
 }
 
-// stateTTL is how long a report counts after which the instance is not seen again.
+// stateTTL is how long the states of an instance count after its last report.
 const stateTTL = 3 * time.Second
 
-// Permitted takes a permit.
+// ApplyPermit applies a permit received at the time now, or issued by this instance as the leader.
+// It ignores a permit of another order and one that is not newer than the last.
 func (c *Control) Permitted(p Permit, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +48,7 @@
 	s.permit, s.permitUntil = p, now.Add(permitTTL)
 }
 
-// Permits returns the newest permits known, to be passed on.
+// Permits returns the newest permit of each trial, to be forwarded to other instances.
 func (c *Control) Permits() []Permit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,8 +61,8 @@
 	return out
 }
 
-// States returns what this instance does, given how many requests it has at each
-// endpoint.
+// States returns this instance's state of each roll-out in progress, given the number of its open
+// requests by endpoint.
 func (c *Control) States(open map[string]int) []State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,26 +82,26 @@
 	return out
 }
 
-// ApplyStates takes what an instance, or a hub for its group, does.
+// ApplyStates records the states that an instance, or a hub for its group, reports.
 func (c *Control) ApplyStates(from string, states []State, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.states[from] = peerStates{states, now}
 }
 
-// AllStates sums what this instance and those seen do.
+// AllStates returns the sums of this instance's states and those reported within stateTTL.
 func (c *Control) AllStates(own []State, now time.Time) []State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.states, func(_ string, h peerStates) bool { return now.Sub(h.at) > stateTTL })
+	maps.DeleteFunc(c.states, func(_ string, p peerStates) bool { return now.Sub(p.at) > stateTTL })
 	sum := SumStates(nil, own)
-	for _, h := range c.states {
-		sum = SumStates(sum, h.states)
+	for _, p := range c.states {
+		sum = SumStates(sum, p.states)
 	}
 	return sum
 }
 
-// SumStates adds states to sums of the same service, order and phase.
+// SumStates adds states to the sums of the same service, order and phase, and returns the sums.
 func SumStates(sums, more []State) []State {
 next:
 	for _, m := range more {
@@ -116,113 +118,115 @@
 	return sums
 }
 
-// Own returns what this instance counted.
+// OwnCounts returns a copy of this instance's own counts.
 func (c *Control) Own() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.own)
 }
 
-// OfferTo returns what is to be reported to a hub of this instance's counts.
+// OfferTo returns the part of this instance's counts to report to a hub, as tally.Ledger defines it.
 func (c *Control) OfferTo(hub tally.Source) rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ledger.Offer(hub, c.own)
 }
 
-// Confirmed notes that a hub has what it was offered.
+// Confirmed records that a hub has received the counts of an offer.
 func (c *Control) Confirmed(hub tally.Source, offer rollout.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ledger.Confirmed(hub, offer)
 }
 
-// Reported takes, at a hub, what an instance of its group counted.
-func (c *Control) Reported(from tally.Source, told rollout.Counts) {
+// ApplyReport records, at a hub, the counts that an instance of its group reports.
+func (c *Control) Reported(from tally.Source, counts rollout.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reported.Take(from, told)
+	c.reported.Take(from, counts)
 }
 
-// Group returns, at a hub, what its group counted.
+// GroupCounts returns, at a hub, the counts of its group, which includes the hub itself.
 func (c *Control) Group() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.groupLocked()
 }
 
-// groupLocked is Group for a caller that holds mu.
+// groupLocked is GroupCounts for a caller that holds mu. This instance's own counts are treated as
+// an offer to itself, so that counts which other hubs have confirmed are not counted twice.
 func (c *Control) groupLocked() rollout.Counts {
 	sum := c.ledger.Offer(c.self, c.own)
-	c.ledger.Confirmed(c.self, sum) // which copies them
+	c.ledger.Confirmed(c.self, sum) // copies sum, which is changed below
 	for key, n := range c.reported.Sum() {
 		sum[key] += n
 	}
 	return sum
 }
 
-// Apply takes what another instance, or a hub for its group or for all, counted.
-func (c *Control) Apply(fleet Fleet, from tally.Source, told rollout.Counts) {
+// ApplyCounts records the counts that another instance shares: its own, or as a hub those of its
+// group or of all instances. Empty counts are ignored.
+func (c *Control) Apply(aggregation Fleet, from tally.Source, counts rollout.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(told) == 0 {
-		return // it knows of no roll-out; what it reported before may still count
+	if len(counts) == 0 {
+		return // the sender has no roll-out; the counts that it shared before may still be needed
 	}
-	c.peerCounts[countSource{fleet, from}] = told
+	c.peerCounts[countSource{aggregation, from}] = counts
 }
 
-// countSource is who reported counts, and as what.
+// countSource identifies who shared counts, and in which aggregation.
 type countSource struct {
-	fleet Fleet
-	from  tally.Source
+	aggregation Fleet
+	from        tally.Source
 }
 
-// Fleet says how the counts of a fleet come together at an instance.
+// Aggregation is how the counts of all instances are summed at an instance.
 type Fleet int
 
-// The kinds of fleet, as an instance sees them.
+// The aggregations.
 const (
-	Peers  Fleet = iota // all send to all
-	AsHub               // instances report to hubs, and these to each other; this one is a hub
-	ByHubs              // the same, and this one gets the sum from its hub
+	Peers  Fleet = iota // every instance shares its counts with every other one
+	AsHub               // instances report to hubs, which share the sums of their groups; this instance is a hub
+	ByHubs              // the same, but this instance is not a hub and gets the sum of all groups from its hub
 )
 
-// TotalCounts returns the counts of all instances for an order.
-func (c *Control) TotalCounts(fleet Fleet, serviceName string, order store.Revision) rollout.Counts {
+// TotalCounts returns the counts of all instances for an order of a service.
+func (c *Control) TotalCounts(aggregation Fleet, serviceName string, order store.Revision) rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(rollout.Counts)
-	add := func(told rollout.Counts) {
-		for key, n := range told {
+	add := func(counts rollout.Counts) {
+		for key, n := range counts {
 			if key.Service == serviceName && key.Order == order {
 				sum[key] += n
 			}
 		}
 	}
-	switch fleet {
+	switch aggregation {
 	case Peers:
 		add(c.own)
 	case AsHub:
 		add(c.groupLocked())
 	}
-	for from, told := range c.peerCounts {
-		if from.fleet == fleet {
-			add(told)
+	for source, counts := range c.peerCounts {
+		if source.aggregation == aggregation {
+			add(counts)
 		}
 	}
 	return sum
 }
 
-// AllCounts returns, at a hub, the counts of all groups.
+// AllCounts returns, at a hub, the counts of all groups for all orders.
 func (c *Control) AllCounts() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := c.groupLocked()
-	for from, told := range c.peerCounts {
-		if from.fleet != AsHub {
+	for source, counts := range c.peerCounts {
+		if source.aggregation != AsHub {
 			continue
 		}
-		for key, n := range told {
+		for key, n := range counts {
 			sum[key] += n
 		}
 	}
--- a/internal/rollctl/lead.go
+++ b/internal/rollctl/lead.go
@@ -15,60 +15,60 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Times of leading.
+// Timing of the leader.
 const (
-	evaluateInterval  = 300 * time.Millisecond // as often as instances report
-	evaluationsPerLog = 3                      // looks between two lines with the figures
+	evaluateInterval  = 300 * time.Millisecond // the interval at which instances report
+	evaluationsPerLog = 3                      // evaluations of a roll-out for each line in the log
 )
 
-// Known is what an instance knows of one service's roll-out.
+// ServiceRollout is what an instance knows of one service's roll-out.
 type Known struct {
 	Order    *rollout.Order  // newest, nil if none is known
-	Record   *rollout.Record // newest, nil if there is none
-	Revision store.Revision  // of the record in the store, 0 if there is none
-	Lost     bool            // the store has no record, or an earlier one than this
-	Settled  bool            // operators have written again what the store lost
-	Targets  int             // endpoints of the target
-	Others   int             // endpoints of other versions that may be used
+	Record   *rollout.Record // newest, nil if none is known
+	Revision store.Revision  // of the record in the store, 0 if the store has none
+	Lost     bool            // the store lost Record in a restore: it has none, or an earlier one
+	Settled  bool            // no restore of the store is so recent that operators may still be rewriting what it lost
+	Targets  int             // number of endpoints of the target
+	Others   int             // number of endpoints of other versions that may be used
 }
 
-// Host is the instance that leads.
+// Host is the instance that a Leader belongs to.
 type Host interface {
-	// Acting returns a context that ends before this instance has to be silent; false
-	// if it does not act for all.
+	// Acting returns a context that ends before this instance must stop acting as the holder of
+	// the duty, and its token. The last result is false if it is not the holder.
 	Acting(ctx context.Context) (context.Context, context.CancelFunc, duty.Token, bool)
-	Day(now time.Time) time.Time                                   // the time of day
+	Day(now time.Time) time.Time                                   // the wall-clock time at now
 	Rollouts() []Known                                             // of all services that have one
-	Instances() int                                                // that run, this one included
-	Fleet() Fleet                                                  // how counts come together here
-	Open() map[string]int                                          // this instance's requests, by endpoint
-	DutyKey() string                                               // of the holder in the store
-	RecordKey(service string) string                               // where a record lasts
-	Wrote(r rollout.Record, at store.Revision)                     // a record was written at a revision
-	Status(r rollout.Record) (key string, value []byte, err error) // for the operators
-	Event(c event.Code, fields ...zap.Field)
+	Instances() int                                                // number of running instances, including this one
+	Fleet() Fleet                                                  // how the counts of all instances are summed here
+	Open() map[string]int                                          // number of this instance's open requests, by endpoint
+	DutyKey() string                                               // key of the duty in the store
+	RecordKey(service string) string                               // key of a service's record in the store
+	Wrote(r rollout.Record, at store.Revision)                     // called when a record was written at a revision
+	Status(r rollout.Record) (key string, value []byte, err error) // status for operators, to be written to the store
+	Event(c event.Code, fields ...zap.Field)                       // logs an event
 }
 
-// Leader leads the roll-outs while its instance acts for all.
+// Leader advances the roll-outs while its instance holds the duty.
 type Leader struct {
 	Host    Host
 	Control *Control
 	Store   store.Writer
 
-	token    duty.Token
+	token    duty.Token             // under which rollouts were built up
 	rollouts map[string]*ledRollout // by service
 }
 
-// ledRollout is what the leader keeps of one roll-out.
+// ledRollout is the leader's state of one roll-out.
 type ledRollout struct {
-	order        store.Revision
+	order        store.Revision // revision of the order
 	judge        *rollout.Judge
-	drainedSince time.Time // since when nothing runs on the old version; zero if something does
-	evaluations  int
-	permitNumber int64 // number of the last permit
+	drainedSince time.Time // since when no request has run on the old version during the shift; zero if one does
+	evaluations  int       // number of evaluations so far
+	permitNumber int64     // number of the last permit
 }
 
-// Run leads until ctx ends.
+// Run advances the roll-outs until ctx ends.
 func (l *Leader) Run(ctx context.Context) error {
 	t := time.NewTicker(evaluateInterval)
 	defer t.Stop()
@@ -82,7 +82,7 @@
 	}
 }
 
-// evaluateAll goes through the roll-outs once.
+// evaluateAll evaluates and advances each roll-out once, if this instance holds the duty.
 func (l *Leader) evaluateAll(ctx context.Context) {
 	call, cancel, token, ok := l.Host.Acting(ctx)
 	if !ok {
@@ -90,7 +90,7 @@
 	}
 	defer cancel()
 	if token != l.token {
-		// What an earlier run of this instance found may not hold any more.
+		// What was found under an earlier token may be outdated.
 		l.token, l.rollouts = token, make(map[string]*ledRollout)
 	}
 	for _, k := range l.Host.Rollouts() {
@@ -100,16 +100,16 @@
 	}
 }
 
-// advance leads one roll-out on.
+// advance evaluates one roll-out, and writes its next record or renews its permit.
 func (l *Leader) advance(ctx context.Context, token duty.Token, k Known, now time.Time) error {
-	day := l.Host.Day(now)
+	wall := l.Host.Day(now)
 	if k.Order != nil && (k.Record == nil || !k.Record.Covers(*k.Order)) {
-		return l.write(ctx, token, k, rollout.Begin(*k.Order, k.Record, day), rollout.Verdict{})
+		return l.write(ctx, token, k, rollout.Begin(*k.Order, k.Record, wall), rollout.Verdict{})
 	}
 	if k.Record == nil {
 		return nil
 	}
-	if r, again := recordToRewrite(k); again {
+	if r, rewrite := recordToRewrite(k); rewrite {
 		return l.write(ctx, token, k, r, rollout.Verdict{})
 	}
 	if k.Record.Phase.Final() {
@@ -117,22 +117,23 @@
 	}
 	r := *k.Record
 	s := l.rolloutFor(r)
-	standing := l.observe(s, r, k, now)
+	observation := l.observe(s, r, k, now)
 	s.evaluations++
 	if s.evaluations%evaluationsPerLog == 0 {
-		l.logDecision(event.RolloutLooked, r, standing.Verdict, zap.Int64("open_on_old", int64(standing.OpenOnReplaced)), zap.Bool("following", standing.AllFollow))
+		l.logDecision(event.RolloutLooked, r, observation.Verdict, zap.Int64("open_on_old", int64(observation.OpenOnReplaced)), zap.Bool("following", observation.AllFollow))
 	}
-	next, changed := rollout.Next(r, standing)
+	next, changed := rollout.Next(r, observation)
 	if !changed {
 		l.renewPermit(s, r, now)
 		return nil
 	}
-	return l.write(ctx, token, k, next, standing.Verdict)
+	return l.write(ctx, token, k, next, observation.Verdict)
 }
 
-// recordToRewrite returns the record to write after a restore of the store, and whether it has to be: the
-// store lost it, or a roll-out that is over goes by an order's revision of an earlier era, from
-// which a later order for the same target could not be distinguished.
+// recordToRewrite returns the record that has to be written again after a restore of the store, and
+// whether one has to be. It has to be if the store lost it. It also has to be if the roll-out is
+// over and the record has the order's revision of an earlier era, because a later order for the same
+// target could then not be distinguished from its own.
 func recordToRewrite(k Known) (rollout.Record, bool) {
 	r := *k.Record
 	if k.Settled && k.Order != nil && r.Phase.Final() && r.Order < k.Order.Revision {
@@ -142,7 +143,7 @@
 	return r, k.Lost
 }
 
-// rolloutFor returns what is kept rolloutFor a roll-out.
+// rolloutFor returns the state of a roll-out, and creates it if the order is new.
 func (l *Leader) rolloutFor(r rollout.Record) *ledRollout {
 	s := l.rollouts[r.Service]
 	if s == nil || s.order != r.Order {
@@ -152,7 +153,8 @@
 	return s
 }
 
-// renewPermit lets a trial go on for a while.
+// renewPermit issues the next permit of a roll-out that is on trial. The numbers of permits follow
+// the clock, so that those of a later leader are usually higher.
 func (l *Leader) renewPermit(s *ledRollout, r rollout.Record, now time.Time) {
 	if r.Phase != rollout.Trial {
 		return
@@ -161,7 +163,7 @@
 	l.Control.Permitted(Permit{Service: r.Service, Order: r.Order, Number: s.permitNumber}, now)
 }
 
-// observe sums what the instances report.
+// observe sums what all instances report of a roll-out.
 func (l *Leader) observe(s *ledRollout, r rollout.Record, k Known, now time.Time) rollout.Observation {
 	if r.Phase == rollout.Shift {
 		s.judge.FreezeBaseline()
@@ -192,33 +194,34 @@
 	return out
 }
 
-// write puts a record in the store, with its status for the operators, if this instance
-// still holds the duty and nobody else wrote meanwhile.
+// write writes a record to the store, with its status for operators, if this instance still holds
+// the duty and nobody else has written the record meanwhile.
 func (l *Leader) write(ctx context.Context, token duty.Token, k Known, r rollout.Record, v rollout.Verdict) error {
 	value, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("encode the roll-out of %s: %w", r.Service, err)
+		return fmt.Errorf("encode the roll-out record of service %s: %w", r.Service, err)
 	}
-	status, told, err := l.Host.Status(r)
+	statusKey, status, err := l.Host.Status(r)
 	if err != nil {
-		return fmt.Errorf("encode the status of %s: %w", r.Service, err)
+		return fmt.Errorf("encode the roll-out status of service %s: %w", r.Service, err)
 	}
 	key := l.Host.RecordKey(r.Service)
 	at, err := l.Store.Do(ctx, store.Txn{
 		Expect: []store.Expect{{Key: key, Revision: k.Revision}, {Key: l.Host.DutyKey(), Revision: token.Fence}},
-		Put:    []store.Put{{Key: key, Value: value}, {Key: status, Value: told}},
+		Put:    []store.Put{{Key: key, Value: value}, {Key: statusKey, Value: status}},
 	})
 	if errors.Is(err, store.ErrConflict) {
-		return nil // another holder wrote, or an answer was lost: the watch brings what is there
+		return nil // another holder wrote, or the answer to an earlier write was lost; the watch delivers the stored record
 	}
 	if err != nil {
-		return fmt.Errorf("write the roll-out of %s: %w", r.Service, err)
+		return fmt.Errorf("write the roll-out record of service %s: %w", r.Service, err)
 	}
 	l.logDecision(event.RolloutLed, r, v, zap.Inline(at), zap.Int64("fence", int64(token.Fence)))
 	l.Host.Wrote(r, at)
 	return nil
 }
 
+// logDecision logs a record with the verdict behind it.
 func (l *Leader) logDecision(c event.Code, r rollout.Record, v rollout.Verdict, more ...zap.Field) {
 	l.Host.Event(c, append([]zap.Field{
 		zap.String("service", r.Service), zap.Int64("order", int64(r.Order)), zap.String("target", r.Target), zap.String("phase", string(r.Phase)),
--- a/internal/rollctl/rollctl.go
+++ b/internal/rollctl/rollctl.go
@@ -1,10 +1,11 @@
-// Package rollctl is one instance's part in the roll-outs of package rollout: it sends
-// the trial's share, counts how requests go at both versions, and passes counts on to
-// the instance that leads the roll-out.
+// Package rollctl implements an instance's part in the roll-outs of package rollout. Every instance
+// sends its share of requests to the version on trial, counts the outcomes at both versions, and
+// shares the counts with the other instances (Control). The holder of the duty also advances the
+// roll-outs (Leader).
 //
-// A version on trial gets requests only while the leader says again and again that it
-// may (a permit, which is a lease of two seconds): an instance that is cut off from the
-// leader, or whose leader is gone, stops by itself.
+// An instance sends requests to a version on trial only while it has a permit, a short lease that
+// the leader renews continually. An instance that is cut off from the leader, or whose leader is
+// gone, stops by itself when the permit expires.
 //
 // Control is safe for concurrent use.
 package rollctl
@@ -22,12 +23,12 @@
 	"github.com/shelfcrank/shelfcrank/internal/tally"
 )
 
-// permitTTL is how long a permit of the leader lasts at the instance that learns of it.
-// With the 1.5 s that it may take through the hubs, the last request reaches a bad
-// version 3.5 s after the leader has stopped; 5 s are allowed.
+// permitTTL is how long a permit is valid, counted from when the instance receives it. A permit may
+// take 1.5 s through the hubs, so that the last request to a bad version is sent at most 3.5 s after
+// the leader has stopped; 5 s are allowed.
 const permitTTL = 2 * time.Second
 
-// Control is an instance's part in all roll-outs.
+// Control holds an instance's state of all roll-outs.
 type Control struct {
 	clock *clock.Clock
 	bound rollout.Bound
@@ -36,24 +37,24 @@
 	mu         sync.Mutex
 	random     *rand.Rand                        // guarded by mu
 	services   map[string]*service               // guarded by mu
-	own        rollout.Counts                    // of this instance; guarded by mu
-	ledger     *tally.Ledger[rollout.Key, int64] // what hubs received of these; guarded by mu
-	reported   *tally.Pool[rollout.Key, int64]   // what instances reported to this one as a hub; guarded by mu
-	peerCounts map[countSource]rollout.Counts    // what other instances, or hubs for their groups, shared; guarded by mu
-	states     map[string]peerStates             // the same of what they do, by instance; guarded by mu
+	own        rollout.Counts                    // counted by this instance; guarded by mu
+	ledger     *tally.Ledger[rollout.Key, int64] // which part of own each hub has confirmed; guarded by mu
+	reported   *tally.Pool[rollout.Key, int64]   // counts that other instances reported to this one as their hub; guarded by mu
+	peerCounts map[countSource]rollout.Counts    // counts shared by other instances, or by hubs for their groups; guarded by mu
+	states     map[string]peerStates             // states shared by other instances, or by hubs for their groups, by name; guarded by mu
 }
 
-// service is what is known of the roll-out of one service.
+// service is an instance's state of the roll-out of one service.
 type service struct {
 	record      rollout.Record
 	arms        rollout.Arms
 	exposure    rollout.Exposure
 	timing      *rollout.Timing
 	permit      Permit
-	permitUntil time.Time // when the permit ends
+	permitUntil time.Time // when the permit expires
 }
 
-// New returns the control of an instance. The clock may be nil.
+// New returns a control without roll-outs for the instance self. The clock may be nil.
 func New(bound rollout.Bound, self tally.Source, random *rand.Rand, c *clock.Clock) *Control {
 	return &Control{
 		clock: c, bound: bound, self: self, random: random, services: make(map[string]*service), own: make(rollout.Counts),
@@ -62,18 +63,19 @@
 	}
 }
 
-// Enabled reports whether the deployment has roll-outs.
+// Enabled reports whether the deployment uses roll-outs, which its bound on bad versions decides.
 func (c *Control) Enabled() bool { return c.bound.Share > 0 }
 
-// Follow takes how far a roll-out is, and how it divides the endpoints. seasoned
-// says that this instance ran before the order. It reports whether the phase is new.
-func (c *Control) Follow(r rollout.Record, arms rollout.Arms, instances int, seasoned bool) bool {
+// SetRollout sets the record of a service's roll-out and how it divides the endpoints. instances is
+// the number of instances of the fleet, startedBefore whether this one started before the order.
+// SetRollout reports whether the order or the phase is new.
+func (c *Control) Follow(r rollout.Record, arms rollout.Arms, instances int, startedBefore bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(r.Service)
 	changed := s.record.Order != r.Order || s.record.Phase != r.Phase
 	if s.record.Order != r.Order {
-		s.exposure = rollout.NewExposure(c.bound, instances, seasoned, c.random)
+		s.exposure = rollout.NewExposure(c.bound, instances, startedBefore, c.random)
 		s.permit, s.permitUntil = Permit{}, time.Time{}
 		c.dropCounts(func(k rollout.Key) bool { return k.Service == r.Service && k.Order < r.Order })
 	}
@@ -81,18 +83,18 @@
 	return changed
 }
 
-// dropCounts drops the counts of orders that are over. The caller holds mu.
-func (c *Control) dropCounts(over func(rollout.Key) bool) {
-	drop := func(k rollout.Key, _ int64) bool { return over(k) }
+// dropCounts drops the counts for whose keys obsolete returns true. The caller holds mu.
+func (c *Control) dropCounts(obsolete func(rollout.Key) bool) {
+	drop := func(k rollout.Key, _ int64) bool { return obsolete(k) }
 	maps.DeleteFunc(c.own, drop)
-	for _, told := range c.peerCounts {
-		maps.DeleteFunc(told, drop)
+	for _, counts := range c.peerCounts {
+		maps.DeleteFunc(counts, drop)
 	}
-	c.ledger.Drop(over)
-	c.reported.Drop(over)
+	c.ledger.Drop(obsolete)
+	c.reported.Drop(obsolete)
 }
 
-// service returns what is known of a service. The caller holds mu.
+// service returns the state of a service, and creates it if there is none. The caller holds mu.
 func (c *Control) service(name string) *service {
 	s := c.services[name]
 	if s == nil {
@@ -102,8 +104,8 @@
 	return s
 }
 
-// Try reports whether a request may go to the version on trial, and counts it there if
-// so. Only first tries do: a request that failed once goes to the version in use.
+// AdmitTrial reports whether a request may go to the version on trial, and counts it against the
+// exposure if so. Only first attempts may: a request that failed once goes to the old version.
 func (c *Control) Try(r *balance.Request, now time.Time) bool {
 	if !c.Enabled() || len(r.Avoid) > 0 {
 		return false
@@ -118,14 +120,14 @@
 	return true
 }
 
-// Watch counts how a request goes at the endpoint that was chosen for it.
+// Observe counts the outcome of a request at the endpoint that was chosen for it.
 func (c *Control) Watch(k *balance.Ticket, r *balance.Request, now time.Time) {
 	if c.Enabled() {
 		k.Observe(&requestObserver{control: c, ticket: k, route: r.Route, promptTokens: r.Tokens, service: r.Service, sent: now})
 	}
 }
 
-// requestObserver counts one request. It implements balance.Observer.
+// requestObserver counts the outcome of one request. It implements balance.Observer.
 type requestObserver struct {
 	control      *Control
 	ticket       *balance.Ticket
@@ -133,7 +135,7 @@
 	route        string
 	promptTokens int
 	sent         time.Time
-	timeToFirst  time.Duration // until the first event
+	timeToFirst  time.Duration // from sent to the first event or the answer
 	started      bool
 }
 
@@ -146,7 +148,7 @@
 // Done implements balance.Observer.
 func (w *requestObserver) Done(result balance.Result) {
 	if !w.ticket.Arrived() {
-		return // the endpoint never had it
+		return // the endpoint did not receive the request
 	}
 	if !w.started {
 		w.timeToFirst = w.control.clock.Since(w.sent)
@@ -158,6 +160,7 @@
 	w.control.countEnd(w, result)
 }
 
+// outcome returns the outcome of the request, which ended with result.
 func (w *requestObserver) outcome(result balance.Result) rollout.Outcome {
 	return rollout.Outcome{
 		Route: w.route, PromptTokens: w.promptTokens, TimeToFirst: w.timeToFirst, Started: w.started, EventInterval: w.ticket.PerEvent(),
@@ -165,7 +168,8 @@
 	}
 }
 
-// key returns what a request is counted under, if its service has a roll-out under way.
+// key returns the key under which a request is counted, without the counter. The second result is
+// false if the service has no roll-out in progress.
 func (s *service) key(w *requestObserver) (rollout.Key, bool) {
 	if s.record.Order == 0 || s.record.Phase.Final() {
 		return rollout.Key{}, false
@@ -177,11 +181,13 @@
 	return k, true
 }
 
+// onTrial reports whether the request's endpoint has the target version.
 func (w *requestObserver) onTrial(s *service) bool {
 	return w.ticket.Endpoint.Version == s.record.Target
 }
 
-// countStart counts the first event of a request, or that none came.
+// countStart counts the start of a request, as rollout.Timing.CountStart does, and that it reached
+// an endpoint.
 func (c *Control) countStart(w *requestObserver) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +198,8 @@
 	}
 }
 
-// countEnd counts the end of a request, and learns from those of the version in use.
+// countEnd counts the end of a request. Unless it ran on the version on trial, its times are added
+// to the baseline.
 func (c *Control) countEnd(w *requestObserver, result balance.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,7 +214,8 @@
 	}
 }
 
-// Divide divides a service's endpoints as its roll-out asks for.
-func (c *Control) Divide(servers []registry.Endpoint, r rollout.Record, unproved func(version string) bool) rollout.Arms {
-	return rollout.Divide(servers, r, c.bound.TrialShare(), unproved)
+// Divide divides a service's endpoints as the phase of its roll-out requires. unconfirmed reports
+// whether a version may be the target of an order that this instance has not read yet.
+func (c *Control) Divide(endpoints []registry.Endpoint, r rollout.Record, unconfirmed func(version string) bool) rollout.Arms {
+	return rollout.Divide(endpoints, r, c.bound.TrialShare(), unconfirmed)
 }
--- a/internal/rollctl/rollctl_test.go
+++ b/internal/rollctl/rollctl_test.go
@@ -15,13 +15,14 @@
 
 var begin = time.Unix(1000, 0)
 
+// onTrial returns a control with a service on trial, and a request to the service.
 func onTrial() (*Control, *balance.Request) {
 	c := New(rollout.Bound{Share: 0.1, Slack: 50}, tally.Source{Instance: "a", Incarnation: 1}, rand.New(rand.NewPCG(1, 1)), nil)
 	c.Follow(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.Trial}, rollout.Arms{Replaced: map[string]bool{"old": true}}, 1, true)
 	return c, &balance.Request{Service: "s", Route: "r", ID: "1"}
 }
 
-// serve sends a request to an endpoint, which answers it.
+// serve sends a request to an endpoint of a version, which answers it.
 func serve(c *Control, r *balance.Request, version string) {
 	tracker := balance.NewTracker()
 	k, _ := tracker.Pick([]registry.Endpoint{{ID: "e", Service: "s", Version: version}}, r, begin)
@@ -38,12 +39,12 @@
 	}
 	is.True(!c.Try(r, begin)) // no permit yet
 	c.Permitted(Permit{Service: "s", Order: 4, Number: 9}, begin)
-	is.True(!c.Try(r, begin)) // one of an earlier order
+	is.True(!c.Try(r, begin)) // a permit of an earlier order
 	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin)
 	is.True(c.Try(r, begin.Add(permitTTL)))
 	is.True(!c.Try(r, begin.Add(permitTTL+1)))
 	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin.Add(time.Minute))
-	is.True(!c.Try(r, begin.Add(time.Minute))) // the same one, passed on late
+	is.True(!c.Try(r, begin.Add(time.Minute))) // the same permit, forwarded late
 	c.Permitted(Permit{Service: "s", Order: 5, Number: 2}, begin.Add(time.Minute))
 	is.True(c.Try(r, begin.Add(time.Minute)))
 	second := *r
@@ -63,7 +64,8 @@
 	is.True(!c.Try(r, begin))
 }
 
-// Counts come to the leader once, whichever way they take.
+// Counts are in the total once, whether it is formed at the instance that counted, at its hub, at
+// another hub, or from the sum that the hub sends back.
 func TestCountsOfAllInstancesAreSummedOnce(t *testing.T) {
 	is := is.New(t)
 	begun := rollout.Key{Service: "s", Order: 5, Route: "r", What: rollout.Begun}
@@ -72,23 +74,23 @@
 		serve(instance, r, "v1")
 	}
 	hub, _ := onTrial()
-	other, _ := onTrial()
-	hubRun, from := tally.Source{Instance: "hub", Incarnation: 1}, tally.Source{Instance: "a", Incarnation: 1}
-	for range 3 { // told again and again
-		offer := instance.OfferTo(hubRun)
+	otherHub, _ := onTrial()
+	hubSource, from := tally.Source{Instance: "hub", Incarnation: 1}, tally.Source{Instance: "a", Incarnation: 1}
+	for range 3 { // repeated reports must not add to the sums
+		offer := instance.OfferTo(hubSource)
 		hub.Reported(from, offer)
-		instance.Confirmed(hubRun, offer)
-		other.Apply(AsHub, hubRun, hub.Group())
+		instance.Confirmed(hubSource, offer)
+		otherHub.Apply(AsHub, hubSource, hub.Group())
 		instance.Apply(ByHubs, tally.Source{}, hub.AllCounts())
 	}
 	is.Equal(hub.TotalCounts(AsHub, "s", 5)[begun], int64(7))
-	is.Equal(other.TotalCounts(AsHub, "s", 5)[begun], int64(7))
+	is.Equal(otherHub.TotalCounts(AsHub, "s", 5)[begun], int64(7))
 	is.Equal(instance.TotalCounts(ByHubs, "s", 5)[begun], int64(7))
 	is.Equal(instance.TotalCounts(Peers, "s", 5)[begun], int64(7))
-	is.Equal(len(other.TotalCounts(AsHub, "s", 6)), 0)
+	is.Equal(len(otherHub.TotalCounts(AsHub, "s", 6)), 0)
 }
 
-// With the order's successor the counts of the order go.
+// The counts of an order must be dropped when the instance follows a later order.
 func TestCountsOfAnEarlierOrderAreDropped(t *testing.T) {
 	is := is.New(t)
 	c, r := onTrial()
