--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,9 +1,9 @@
-// Package version tracks which version of the configuration this instance and the others have in
-// force.
+// Package version tracks which versions of the configuration this instance and the other instances
+// have in force.
 //
-// The store may have lost a version that is in force, so that an instance which starts reads an
-// older one there. Instances advertise their versions, and one that has been behind for long
-// gets the configuration from the other.
+// The store may lose a version that is in force, in a restore. An instance that starts then reads an
+// older version from it. So instances advertise their versions to each other, and an instance that
+// has lacked a later version for some time fetches it from an instance that has it.
 package version
 
 import (
@@ -12,44 +12,46 @@
 	"time"
 )
 
-// Tracker tracks versions. It is safe for concurrent use.
+// Tracker holds the configuration in force here and the latest version advertised by others. It is
+// safe for concurrent use.
 type Tracker struct {
-	inForce atomic.Pointer[held]
+	inForce atomic.Pointer[config]
 
-	mu    sync.Mutex
-	later later // guarded by mu
+	mu     sync.Mutex
+	newest peerVersion // guarded by mu
 }
 
-// held is the configuration in force, as the operators wrote it.
-type held struct {
+// config is a version of the configuration.
+type config struct {
 	version int64
-	value   []byte
+	value   []byte // as the operators wrote it
 }
 
-// later is the latest version that another instance advertised.
-type later struct {
-	version int64
-	at      string    // instance
-	since   time.Time // when a version after the one in force here was first advertised
+// peerVersion is the latest version that another instance advertised.
+type peerVersion struct {
+	version  int64
+	instance string    // that advertised it last
+	since    time.Time // when a version after the one in force here was first advertised
 }
 
 // New returns a tracker without a version.
 func New() *Tracker {
 	t := &Tracker{}
-	t.inForce.Store(&held{})
+	t.inForce.Store(&config{})
 	return t
 }
 
-// Own returns the version in force here, 0 if there is none.
+// InForce returns the version in force here, 0 if there is none.
 func (t *Tracker) Own() int64 { return t.inForce.Load().version }
 
-// Value returns the configuration in force here, nil if there is none.
+// Config returns the configuration in force here as the operators wrote it, nil if there is none.
 func (t *Tracker) Value() []byte { return t.inForce.Load().value }
 
-// Hold notes the version in force here, with the configuration as the operators wrote it.
-func (t *Tracker) Hold(version int64, value []byte) { t.inForce.Store(&held{version, value}) }
+// SetInForce sets the version in force here, and the configuration as the operators wrote it.
+func (t *Tracker) Hold(version int64, value []byte) { t.inForce.Store(&config{version, value}) }
 
-// Advertised takes the version that another instance has in force.
+// RecordAdvertised records the version that another instance advertises. Versions that are not later
+// than the one in force here are ignored.
 func (t *Tracker) Advertised(from string, version int64, now time.Time) {
 	own := t.Own()
 	if version <= own {
@@ -57,29 +59,31 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.later.version <= own {
-		t.later = later{since: now}
+	if t.newest.version <= own {
+		t.newest = peerVersion{since: now}
 	}
-	if version >= t.later.version {
-		t.later.version, t.later.at = version, from
+	if version >= t.newest.version {
+		t.newest.version, t.newest.instance = version, from
 	}
 }
 
-// Missing returns an instance that has a later version which has been missing here for a time.
+// Missing returns an instance that has a later version than this one, if later versions have been
+// advertised for at least the duration after.
 func (t *Tracker) Missing(now time.Time, after time.Duration) (instance string, missing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.later.version <= t.Own() || now.Sub(t.later.since) < after {
+	if t.newest.version <= t.Own() || now.Sub(t.newest.since) < after {
 		return "", false
 	}
-	return t.later.at, true
+	return t.newest.instance, true
 }
 
-// Forget drops what an instance advertised, which could not be got from it.
+// Forget drops the latest advertised version if it came from an instance, from which the
+// configuration could not be fetched. Other instances may advertise the same version again.
 func (t *Tracker) Forget(instance string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.later.at == instance {
-		t.later = later{}
+	if t.newest.instance == instance {
+		t.newest = peerVersion{}
 	}
 }
--- a/internal/version/version_test.go
+++ b/internal/version/version_test.go
@@ -17,7 +17,7 @@
 	is.True(!missing)
 
 	tr.Advertised("b", 5, now)
-	tr.Advertised("c", 4, now.Add(900*time.Millisecond)) // an earlier one changes nothing
+	tr.Advertised("c", 4, now.Add(900*time.Millisecond)) // not the latest: ignored
 	_, missing = tr.Missing(now.Add(999*time.Millisecond), time.Second)
 	is.True(!missing)
 	from, missing := tr.Missing(now.Add(time.Second), time.Second)
@@ -26,7 +26,7 @@
 	tr.Hold(5, []byte("five"))
 	_, missing = tr.Missing(now.Add(time.Hour), 0)
 	is.True(!missing)
-	tr.Advertised("d", 6, now.Add(time.Hour)) // missing since now, not since the one before
+	tr.Advertised("d", 6, now.Add(time.Hour)) // counts from now, not from when version 5 was advertised
 	_, missing = tr.Missing(now.Add(time.Hour), time.Second)
 	is.True(!missing)
 	is.Equal(string(tr.Value()), "five")
