--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy is the operators' configuration as requests are decided by:
+// Package policy holds the operators' configuration, by which requests are routed and limited:
 // routes, services, client accounts and limits.
 //
-// A Config is immutable once New has made it. The package is pure.
+// A Config is immutable once New has returned it. The package does no I/O.
 package policy
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what a request of a route may bear.
+// Kind says how a route's requests are answered and whether they may be repeated.
 type Kind int
 
-// The kinds of route. Unsafe is the zero value: a request is never repeated
-// because its kind was not understood.
+// The kinds of route. Unsafe is the zero value, so that no request is repeated because its kind was
+// not recognized.
 const (
-	Unsafe    Kind = iota // runs at most once
-	Safe                  // may run more than once
-	Streaming             // answered by a stream of events
+	Unsafe    Kind = iota // a request runs at most once
+	Safe                  // a request may run more than once
+	Streaming             // a request is answered by a stream of events
 )
 
 // Route maps requests to services.
@@ -32,68 +32,68 @@
 	Host        string
 	Prefix      string // of the path; begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // a policy value; it becomes a deadline on arrival
-	Target      time.Duration // latency for the full credit, to the first event of a stream
-	MaxPause    time.Duration // between two events of a stream
+	Timeout     time.Duration // a request's deadline is its arrival and this
+	Target      time.Duration // target latency of the answer, or of the first event of a stream
+	MaxPause    time.Duration // target for the longest time between two events of a stream
 	Priority    int           // 0 is the most urgent
-	Split       []Share       // never empty
-	MaxAttempts int           // servers that one request may be sent to, at least 1
-	Public      bool          // needs no key
-	Resumable   bool          // another server may go on with a broken stream
+	Split       []Share       // how requests are split among services; never empty
+	MaxAttempts int           // number of endpoints that one request may be sent to, at least 1
+	Public      bool          // requests need no key
+	Resumable   bool          // another endpoint may continue a stream that broke off
 }
 
 // Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Resumable }
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service string
-	Weight  float64
+	Weight  float64 // relative to the sum of the weights of the route's shares
 }
 
-// Service is a group of equal servers.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name           string
-	HealthPath     string
-	MaxConnections int // to one server, from all nodes together; 0 is no limit
-	Engine         *Engine
-	Scaling        *Scaling
+	HealthPath     string   // path of an endpoint's health check
+	MaxConnections int      // to one endpoint, from all instances together; 0 is no limit
+	Engine         *Engine  // nil if the endpoints are no model engines
+	Scaling        *Scaling // nil if the number of endpoints is fixed
 }
 
-// Engine describes the model servers of a service.
+// Engine describes the model engines of a service.
 type Engine struct {
-	Slots        int
-	CacheTokens  int // tokens of KV cache that a server has memory for
-	TokensAnItem int // tokens in one event of a stream
-	Moves        bool
-	Backups      bool
+	Slots        int  // requests that an endpoint processes at once; 0 if the endpoints report it
+	CacheTokens  int  // size of an endpoint's KV cache in tokens
+	TokensAnItem int  // number of tokens in one event of a stream
+	Moves        bool // endpoints can move KV cache to each other
+	Backups      bool // endpoints can keep backups of KV cache
 }
 
-// Scaling says how servers of a service are ordered. The bounds hold in each hall.
+// Scaling says how the number of a service's endpoints is scaled. The bounds apply in each hall.
 type Scaling struct {
-	Min, Max   int
-	Boot       time.Duration // from an order to serving
-	SpotPrice  float64       // share of the price of a server that is not reclaimable
-	HallPrices map[string]float64
+	Min, Max   int                // number of endpoints
+	Boot       time.Duration      // from the order of an endpoint until it serves
+	SpotPrice  float64            // price of a reclaimable endpoint as a share of that of an on-demand one
+	HallPrices map[string]float64 // price of an endpoint's second, by hall
 }
 
 // Account is a client account: a customer with keys, a limit and a priority.
 type Account struct {
 	Name        string
 	Keys        []string
-	Priority    int     // 0 is the most urgent; it comes before that of the route
-	Rate        float64 // of units a second over all nodes; 0 is no limit
+	Priority    int     // 0 is the most urgent; it takes precedence over the route's
+	Rate        float64 // units a second over all instances; 0 is no limit
 	Burst       float64 // units above the rate
-	CountTokens bool    // the unit is a token, else a request
-	PlainTokens float64 // what a request that names no tokens counts for
+	CountTokens bool    // a unit is a token, else a request
+	PlainTokens float64 // units of a request that does not name its tokens, if CountTokens is set
 }
 
-// Limits bounds what a client may send.
+// Limits are limits on what a client may send. Zero stands for the default.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	HeaderBytes   int           // size of the request header
+	BodyBytes     int64         // size of the request body
+	HeaderTimeout time.Duration // for reading the request header
+	IdleTimeout   time.Duration // of a connection between two requests
 }
 
 // Config is one version of the configuration.
@@ -104,15 +104,16 @@
 	Accounts []Account
 	Limits   Limits
 
-	byHost    map[string][]*Route // longest prefix first
+	byHost    map[string][]*Route // longest prefix first; hosts in lower case
 	byKey     map[string]*Account
 	byService map[string]*Service
-	ranks     map[rank]int
+	ranks     map[priorityPair]int // position of each pair in the order of precedence, from 0
 }
 
-type rank struct{ account, route int }
+// priorityPair is the priority of a client account and that of a route.
+type priorityPair struct{ account, route int }
 
-// ErrInvalid says that a configuration cannot be used.
+// ErrInvalid is the error of a configuration that cannot be used.
 var ErrInvalid = errors.New("invalid configuration")
 
 // New checks a configuration and prepares it for look-ups.
@@ -143,45 +144,47 @@
 			c.byKey[key] = &c.Accounts[i]
 		}
 	}
-	c.rank()
+	c.rankPriorities()
 	return &c, nil
 }
 
-// rank orders the pairs of a client account's and a route's priority.
-func (c *Config) rank() {
-	var all []rank
+// rankPriorities sets ranks for all pairs of a client account's and a route's priority. Requests
+// without a client account have the account priority 0.
+func (c *Config) rankPriorities() {
+	var all []priorityPair
 	for _, r := range c.Routes {
 		for _, a := range c.Accounts {
-			all = append(all, rank{a.Priority, r.Priority})
+			all = append(all, priorityPair{a.Priority, r.Priority})
 		}
-		all = append(all, rank{0, r.Priority})
+		all = append(all, priorityPair{0, r.Priority})
 	}
-	slices.SortFunc(all, func(a, b rank) int { return cmp.Or(cmp.Compare(a.account, b.account), cmp.Compare(a.route, b.route)) })
+	slices.SortFunc(all, func(a, b priorityPair) int {
+		return cmp.Or(cmp.Compare(a.account, b.account), cmp.Compare(a.route, b.route))
+	})
 	all = slices.Compact(all)
-	c.ranks = make(map[rank]int, len(all))
+	c.ranks = make(map[priorityPair]int, len(all))
 	for i, r := range all {
 		c.ranks[r] = i
 	}
 }
 
-// Priorities is the number of levels that servers tell apart; 0 goes first.
+// Priorities is the number of priority levels that endpoints distinguish. Level 0 is served first.
 const Priorities = 10
 
-// Priority returns the level at which a request is sent to a server. a may
-// be nil.
+// Priority returns the priority level, below Priorities, of a request of a route by a client
+// account, which may be nil. If there are more ranks than levels, neighbouring ranks share a level.
 func (c *Config) Priority(a *Account, r *Route) int {
-	of := rank{0, r.Priority}
+	pair := priorityPair{0, r.Priority}
 	if a != nil {
-		of.account = a.Priority
+		pair.account = a.Priority
 	}
 	if len(c.ranks) <= Priorities {
-		return c.ranks[of]
+		return c.ranks[pair]
 	}
-	return c.ranks[of] * Priorities / len(c.ranks)
+	return c.ranks[pair] * Priorities / len(c.ranks)
 }
 
-// Match returns the route of a host whose prefix begins the path and is the
-// longest, or nil.
+// Match returns the route of a host with the longest prefix that matches the path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -194,14 +197,14 @@
 // HasAccounts reports whether requests need a key.
 func (c *Config) HasAccounts() bool { return len(c.Accounts) > 0 }
 
-// Account returns the client account that holds a key, or nil.
+// Account returns the client account that a key belongs to, or nil.
 func (c *Config) Account(key string) *Account { return c.byKey[key] }
 
 // Service returns the service with this name, or nil.
 func (c *Config) Service(name string) *Service { return c.byService[name] }
 
-// Pick returns the service that a request goes to. The same id gets the same
-// service as long as the weights stay.
+// Pick returns the service for a request with an id. It returns the same service for the same id
+// until the shares change.
 func (r *Route) Pick(id string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
@@ -210,12 +213,12 @@
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	at := float64(xxhash.Sum64String(id)>>11) / (1 << 53) * total
+	point := float64(xxhash.Sum64String(id)>>11) / (1 << 53) * total
 	for _, s := range r.Split {
-		if at < s.Weight {
+		if point < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		point -= s.Weight
 	}
 	return r.Split[len(r.Split)-1].Service
 }
