--- a/internal/rollctl/rollctl.go
+++ b/internal/rollctl/rollctl.go
@@ -1,10 +1,11 @@
-// Package rollctl is one instance's part in the roll-outs of package rollout: it sends
-// the trial's share, counts how requests go at both versions, and passes counts on to
-// the instance that leads the roll-out.
+// Package rollctl implements an instance's part in the roll-outs of package rollout. Every instance
+// sends its share of requests to the version on trial, counts the outcomes at both versions, and
+// shares the counts with the other instances (Control). The holder of the duty also advances the
+// roll-outs (Leader).
 //
-// A version on trial gets requests only while the leader says again and again that it
-// may (a permit, which is a lease of two seconds): an instance that is cut off from the
-// leader, or whose leader is gone, stops by itself.
+// An instance sends requests to a version on trial only while it has a permit, a short lease that
+// the leader renews continually. An instance that is cut off from the leader, or whose leader is
+// gone, stops by itself when the permit expires.
 //
 // Control is safe for concurrent use.
 package rollctl
@@ -22,77 +23,78 @@
 	"github.com/shelfcrank/shelfcrank/internal/tally"
 )
 
-// permitFor is how long a permit of the leader lasts at the instance that learns of it.
-// With the 1.5 s that it may take through the hubs, the last request reaches a bad
-// version 3.5 s after the leader has stopped; 5 s are allowed.
-const permitFor = 2 * time.Second
+// permitTTL is how long a permit is valid, counted from when the instance receives it. A permit may
+// take 1.5 s through the hubs, so that the last request to a bad version is sent at most 3.5 s after
+// the leader has stopped; 5 s are allowed.
+const permitTTL = 2 * time.Second
 
-// Control is an instance's part in all roll-outs.
+// Control holds an instance's state of all roll-outs.
 type Control struct {
 	clock *clock.Clock
 	bound rollout.Bound
 	self  tally.Source
 
-	mu       sync.Mutex
-	random   *rand.Rand                        // guarded by mu
-	services map[string]*service               // guarded by mu
-	own      rollout.Counts                    // of this instance; guarded by mu
-	ledger   *tally.Ledger[rollout.Key, int64] // what hubs received of these; guarded by mu
-	reported *tally.Pool[rollout.Key, int64]   // what instances reported to this one as a hub; guarded by mu
-	others   map[source]rollout.Counts         // what other instances, or hubs for their groups, shared; guarded by mu
-	states   map[string]peerStates             // the same of what they do, by instance; guarded by mu
+	mu         sync.Mutex
+	random     *rand.Rand                        // guarded by mu
+	services   map[string]*service               // guarded by mu
+	own        rollout.Counts                    // counted by this instance; guarded by mu
+	ledger     *tally.Ledger[rollout.Key, int64] // which part of own each hub has confirmed; guarded by mu
+	reported   *tally.Pool[rollout.Key, int64]   // counts that other instances reported to this one as their hub; guarded by mu
+	peerCounts map[countSource]rollout.Counts    // counts shared by other instances, or by hubs for their groups; guarded by mu
+	states     map[string]peerStates             // states shared by other instances, or by hubs for their groups, by name; guarded by mu
 }
 
-// service is what is known of the roll-out of one service.
+// service is an instance's state of the roll-out of one service.
 type service struct {
-	record   rollout.Record
-	arms     rollout.Arms
-	exposure rollout.Exposure
-	timing   *rollout.Timing
-	permit   Permit
-	until    time.Time // when the permit ends
+	record      rollout.Record
+	arms        rollout.Arms
+	exposure    rollout.Exposure
+	timing      *rollout.Timing
+	permit      Permit
+	permitUntil time.Time // when the permit expires
 }
 
-// New returns the control of an instance. The clock may be nil.
+// New returns a control without roll-outs for the instance self. The clock may be nil.
 func New(bound rollout.Bound, self tally.Source, random *rand.Rand, c *clock.Clock) *Control {
 	return &Control{
 		clock: c, bound: bound, self: self, random: random, services: make(map[string]*service), own: make(rollout.Counts),
 		ledger: tally.NewLedger[rollout.Key, int64](), reported: tally.NewPool[rollout.Key, int64](),
-		others: make(map[source]rollout.Counts), states: make(map[string]peerStates),
+		peerCounts: make(map[countSource]rollout.Counts), states: make(map[string]peerStates),
 	}
 }
 
-// Enabled reports whether the deployment has roll-outs.
+// Enabled reports whether the deployment uses roll-outs, which its bound on bad versions decides.
 func (c *Control) Enabled() bool { return c.bound.Share > 0 }
 
-// Follow takes how far a roll-out is, and how it divides the endpoints. seasoned
-// says that this instance ran before the order. It reports whether the phase is new.
-func (c *Control) Follow(r rollout.Record, arms rollout.Arms, instances int, seasoned bool) bool {
+// SetRollout sets the record of a service's roll-out and how it divides the endpoints. instances is
+// the number of instances of the fleet, startedBefore whether this one started before the order.
+// SetRollout reports whether the order or the phase is new.
+func (c *Control) Follow(r rollout.Record, arms rollout.Arms, instances int, startedBefore bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(r.Service)
 	changed := s.record.Order != r.Order || s.record.Phase != r.Phase
 	if s.record.Order != r.Order {
-		s.exposure = rollout.NewExposure(c.bound, instances, seasoned, c.random)
-		s.permit, s.until = Permit{}, time.Time{}
-		c.forget(func(k rollout.Key) bool { return k.Service == r.Service && k.Order < r.Order })
+		s.exposure = rollout.NewExposure(c.bound, instances, startedBefore, c.random)
+		s.permit, s.permitUntil = Permit{}, time.Time{}
+		c.dropCounts(func(k rollout.Key) bool { return k.Service == r.Service && k.Order < r.Order })
 	}
 	s.record, s.arms = r, arms
 	return changed
 }
 
-// forget drops the counts of orders that are over. The caller holds mu.
-func (c *Control) forget(over func(rollout.Key) bool) {
-	drop := func(k rollout.Key, _ int64) bool { return over(k) }
+// dropCounts drops the counts for whose keys obsolete returns true. The caller holds mu.
+func (c *Control) dropCounts(obsolete func(rollout.Key) bool) {
+	drop := func(k rollout.Key, _ int64) bool { return obsolete(k) }
 	maps.DeleteFunc(c.own, drop)
-	for _, told := range c.others {
-		maps.DeleteFunc(told, drop)
+	for _, counts := range c.peerCounts {
+		maps.DeleteFunc(counts, drop)
 	}
-	c.ledger.Drop(over)
-	c.reported.Drop(over)
+	c.ledger.Drop(obsolete)
+	c.reported.Drop(obsolete)
 }
 
-// service returns what is known of a service. The caller holds mu.
+// service returns the state of a service, and creates it if there is none. The caller holds mu.
 func (c *Control) service(name string) *service {
 	s := c.services[name]
 	if s == nil {
@@ -102,8 +104,8 @@
 	return s
 }
 
-// Try reports whether a request may go to the version on trial, and counts it there if
-// so. Only first tries do: a request that failed once goes to the version in use.
+// AdmitTrial reports whether a request may go to the version on trial, and counts it against the
+// exposure if so. Only first attempts may: a request that failed once goes to the old version.
 func (c *Control) Try(r *balance.Request, now time.Time) bool {
 	if !c.Enabled() || len(r.Avoid) > 0 {
 		return false
@@ -111,101 +113,109 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.services[r.Service]
-	if s == nil || s.record.Phase != rollout.Trial || now.After(s.until) || !s.exposure.Allowed() {
+	if s == nil || s.record.Phase != rollout.Trial || now.After(s.permitUntil) || !s.exposure.Allowed() {
 		return false
 	}
-	s.exposure.Sent()
+	s.exposure.CountTrial()
 	return true
 }
 
-// Watch counts how a request goes at the endpoint that was chosen for it.
+// Observe counts the outcome of a request at the endpoint that was chosen for it.
 func (c *Control) Watch(k *balance.Ticket, r *balance.Request, now time.Time) {
 	if c.Enabled() {
-		k.Observe(&watcher{control: c, ticket: k, route: r.Route, size: r.Tokens, service: r.Service, sent: now})
+		k.Observe(&requestObserver{control: c, ticket: k, route: r.Route, promptTokens: r.Tokens, service: r.Service, sent: now})
 	}
 }
 
-// watcher counts one request. It implements balance.Observer.
-type watcher struct {
-	control *Control
-	ticket  *balance.Ticket
-	service string
-	route   string
-	size    int
-	sent    time.Time
-	first   time.Duration // until the first event
-	began   bool
+// requestObserver counts the outcome of one request. It implements balance.Observer.
+type requestObserver struct {
+	control      *Control
+	ticket       *balance.Ticket
+	service      string
+	route        string
+	promptTokens int
+	sent         time.Time
+	timeToFirst  time.Duration // from sent to the first event or the answer
+	started      bool
 }
 
 // Read implements balance.Observer.
-func (w *watcher) Read() {
-	w.began, w.first = true, w.control.clock.Since(w.sent)
-	w.control.began(w)
+func (w *requestObserver) Read() {
+	w.started, w.timeToFirst = true, w.control.clock.Since(w.sent)
+	w.control.countStart(w)
 }
 
 // Done implements balance.Observer.
-func (w *watcher) Done(result balance.Result) {
+func (w *requestObserver) Done(result balance.Result) {
 	if !w.ticket.Arrived() {
-		return // the endpoint never had it
+		return // the endpoint did not receive the request
 	}
-	if !w.began {
-		w.first = w.control.clock.Since(w.sent)
-		w.began = result == balance.Answered
+	if !w.started {
+		w.timeToFirst = w.control.clock.Since(w.sent)
+		w.started = result == balance.Answered
 		if result != balance.Refused {
-			w.control.began(w)
+			w.control.countStart(w)
 		}
 	}
-	w.control.ended(w, result)
+	w.control.countEnd(w, result)
 }
 
-func (w *watcher) outcome(result balance.Result) rollout.Outcome {
+// outcome returns the outcome of the request, which ended with result.
+func (w *requestObserver) outcome(result balance.Result) rollout.Outcome {
 	return rollout.Outcome{
-		Route: w.route, Size: w.size, First: w.first, Began: w.began, PerEvent: w.ticket.PerEvent(),
-		Judged: result == balance.Answered || result == balance.Failed, Failed: result == balance.Failed,
+		Route: w.route, PromptTokens: w.promptTokens, TimeToFirst: w.timeToFirst, Started: w.started, EventInterval: w.ticket.PerEvent(),
+		Conclusive: result == balance.Answered || result == balance.Failed, Failed: result == balance.Failed,
 	}
 }
 
-// key returns what a request is counted under, if its service has a roll-out under way.
-func (s *service) key(w *watcher) (rollout.Key, bool) {
+// key returns the key under which a request is counted, without the counter. The second result is
+// false if the service has no roll-out in progress.
+func (s *service) key(w *requestObserver) (rollout.Key, bool) {
 	if s.record.Order == 0 || s.record.Phase.Final() {
 		return rollout.Key{}, false
 	}
 	k := rollout.Key{Service: w.service, Order: s.record.Order, Route: w.route, Trial: w.onTrial(s)}
 	if k.Trial {
-		k.Bucket = s.arms.Group[w.ticket.Endpoint.ID]
+		k.Bucket = s.arms.Bucket[w.ticket.Endpoint.ID]
 	}
 	return k, true
 }
 
-func (w *watcher) onTrial(s *service) bool { return w.ticket.Endpoint.Version == s.record.Target }
+// onTrial reports whether the request's endpoint has the target version.
+func (w *requestObserver) onTrial(s *service) bool {
+	return w.ticket.Endpoint.Version == s.record.Target
+}
 
-// began counts the first event of a request, or that none came.
-func (c *Control) began(w *watcher) {
+// countStart counts the start of a request, as rollout.Timing.CountStart does, and that it reached
+// an endpoint.
+func (c *Control) countStart(w *requestObserver) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(w.service)
-	s.exposure.Arrived()
+	s.exposure.CountArrival()
 	if key, counted := s.key(w); counted {
-		s.timing.Began(c.own, key, w.outcome(balance.Cancelled))
+		s.timing.CountStart(c.own, key, w.outcome(balance.Cancelled))
 	}
 }
 
-// ended counts the end of a request, and learns from those of the version in use.
-func (c *Control) ended(w *watcher, result balance.Result) {
+// countEnd counts the end of a request. Unless it ran on the version on trial, its times are added
+// to the baseline.
+func (c *Control) countEnd(w *requestObserver, result balance.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(w.service)
 	key, counted := s.key(w)
 	outcome := w.outcome(result)
 	if counted {
-		s.timing.Ended(c.own, key, outcome)
+		s.timing.CountEnd(c.own, key, outcome)
 	}
 	if !counted || !key.Trial {
-		s.timing.Learn(outcome)
+		s.timing.AddBaseline(outcome)
 	}
 }
 
-// Divide divides a service's endpoints as its roll-out asks for.
-func (c *Control) Divide(servers []registry.Endpoint, r rollout.Record, unproved func(version string) bool) rollout.Arms {
-	return rollout.Divide(servers, r, c.bound.TrialShare(), unproved)
+// Divide divides a service's endpoints as the phase of its roll-out requires. unconfirmed reports
+// whether a version may be the target of an order that this instance has not read yet.
+func (c *Control) Divide(endpoints []registry.Endpoint, r rollout.Record, unconfirmed func(version string) bool) rollout.Arms {
+	return rollout.Divide(endpoints, r, c.bound.TrialShare(), unconfirmed)
 }
