--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -10,10 +10,10 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// admitted drives nine instances with callers that move between them and
-// returns how many requests were admitted in each 10 s. gossip says which
-// instances learn of each other.
-func admitted(seed uint64, seconds int, gossip func(i, j int) bool) []int {
+// admittedPerWindow sends requests of one client account to nine instances, with the load
+// shifting between them, and returns how many were admitted in each 10 s window.
+// gossip reports whether instance i receives the usage reports of instance j.
+func admittedPerWindow(seed uint64, seconds int, gossip func(i, j int) bool) []int {
 	const instances, asked = 9, 400
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	acc := &table.Account{Name: "a", LimitRate: 100}
@@ -27,12 +27,12 @@
 	hot := 0
 	for step := range seconds * asked {
 		now := t0.Add(time.Duration(step) * time.Second / asked)
-		if step%(asked/3) == 0 { // a heartbeat each 333 ms
+		if step%(asked/3) == 0 { // a heartbeat every 333 ms
 			for i := range limiters {
 				last[i] = limiters[i].Usage(now)
 			}
 		}
-		if step%(asked*4) == 0 { // callers move
+		if step%(asked*4) == 0 { // the load shifts to another instance
 			hot = rnd.IntN(instances)
 		}
 		i := rnd.IntN(instances)
@@ -62,7 +62,7 @@
 
 func TestLimitHoldsOverAllInstances(t *testing.T) {
 	for seed := range uint64(5) {
-		w := admitted(seed, 60, func(int, int) bool { return true })
+		w := admittedPerWindow(seed, 60, func(int, int) bool { return true })
 		for k, n := range w[1:] {
 			if n < 900 || n > 1100 {
 				t.Errorf("seed %d, 10 s from %d s: %d admitted, want 1000 within 10%%", seed, 10*(k+1), n)
@@ -73,7 +73,7 @@
 
 func TestPartitionAdmitsAtMostTwice(t *testing.T) {
 	for seed := range uint64(5) {
-		w := admitted(seed, 60, func(i, j int) bool { return (i < 4) == (j < 4) })
+		w := admittedPerWindow(seed, 60, func(i, j int) bool { return (i < 4) == (j < 4) })
 		for k, n := range w[1:] {
 			if n > 2100 {
 				t.Errorf("seed %d, 10 s from %d s: %d admitted in a partition of two", seed, 10*(k+1), n)
@@ -92,12 +92,12 @@
 	}
 	now := t0.Add(4 * time.Second)
 	if l.OverShare("large", weight, nil, now) {
-		t.Error("large asks for twice as much with four times the weight, and is not over")
+		t.Error("large has twice the demand of small and four times the weight, want not over its share")
 	}
 	if !l.OverShare("small", weight, nil, now) {
-		t.Error("small is over its share")
+		t.Error("small has half the demand of large and a quarter of the weight, want over its share")
 	}
 	if l.OverShare("small", weight, map[string]Usage{"large": {Tokens: 50_000}}, now) {
-		t.Error("with what large asks elsewhere, small is not over")
+		t.Error("large has 50,000 tokens/s of demand on other instances, want small not over its share")
 	}
 }
