--- a/internal/route/baseline.go
+++ b/internal/route/baseline.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// roundRobin takes the endpoints in turn.
+// roundRobin chooses the eligible endpoints of a pool in turn.
 type roundRobin struct {
-	next atomic.Uint64
+	counter atomic.Uint64
 }
 
 func (rr *roundRobin) Choose(p *Pool, r *Request, now time.Time) (Decision, bool) {
 	for range p.Size {
-		e := p.at(int(rr.next.Add(1) % uint64(p.Size)))
+		e := p.at(int(rr.counter.Add(1) % uint64(p.Size)))
 		if r.eligible(e, now) {
 			return Estimate(e, r, now), true
 		}
 	}
-	return anyOf(p, r, now)
+	return chooseIgnoringEjection(p, r, now)
 }
 
-// leastLoaded takes the endpoint with the fewest sequences, as last reported
-// or as sent by this instance.
+// leastLoaded chooses the endpoint with the fewest sequences in progress. The load
+// of an endpoint is the larger of its last report and this instance's own open
+// requests. Ties are broken by the request's random number.
 type leastLoaded struct{}
 
 func (leastLoaded) Choose(p *Pool, r *Request, now time.Time) (Decision, bool) {
@@ -42,18 +43,19 @@
 		}
 	}
 	if best == nil {
-		return anyOf(p, r, now)
+		return chooseIgnoringEjection(p, r, now)
 	}
 	return Estimate(best, r, now), true
 }
 
-// sessionHash always takes the first home of the session.
+// sessionHash chooses the first eligible affinity endpoint of the session,
+// whatever its load, and falls back to leastLoaded if none is eligible.
 type sessionHash struct{}
 
 func (sessionHash) Choose(p *Pool, r *Request, now time.Time) (Decision, bool) {
-	var home [homeCount]*Endpoint
-	n := Homes(p, r.Session, home[:])
-	for _, e := range home[:n] {
+	var affine [affinityCount]*Endpoint
+	n := Homes(p, r.Session, affine[:])
+	for _, e := range affine[:n] {
 		if r.eligible(e, now) {
 			return Estimate(e, r, now), true
 		}
@@ -61,9 +63,11 @@
 	return leastLoaded{}.Choose(p, r, now)
 }
 
-// anyOf is the floor of outlier ejection: when all endpoints rest, one that
-// did not fail this very request is tried all the same, unless it accepts no calls.
-func anyOf(p *Pool, r *Request, now time.Time) (Decision, bool) {
+// chooseIgnoringEjection is the fallback when no endpoint is eligible. It also
+// considers ejected endpoints, so that outlier ejection never makes a whole pool
+// unavailable, but neither endpoints that already failed this request nor those
+// that accept no calls.
+func chooseIgnoringEjection(p *Pool, r *Request, now time.Time) (Decision, bool) {
 	for i := range p.Size {
 		e := p.at((int(r.Draw%uint64(p.Size)) + i) % p.Size)
 		if !avoided(r, e.ID) && r.Accepts(e, now) {
@@ -73,8 +77,9 @@
 	return Decision{}, false
 }
 
-// ServicePolicy routes calls to plain services: the hall of the entry instance
-// first, then the least expected finish of two drawn at random.
+// ServicePolicy routes calls to plain services. Of serviceCandidates endpoints
+// drawn at random it chooses the one with the shortest expected completion time,
+// to which crossHallPenalty is added for an endpoint in another hall.
 type ServicePolicy struct{}
 
 // Choose implements Policy.
@@ -84,26 +89,26 @@
 	}
 	var best *Endpoint
 	bestWait := time.Duration(0)
-	for i := range uint64(serviceSamples) {
+	for i := range uint64(serviceCandidates) {
 		e := p.at(int(mix(r.Draw, i) % uint64(p.Size)))
 		if !r.eligible(e, now) {
 			continue
 		}
-		wait := time.Duration(e.ewma.Load()) * time.Duration(e.Open()+1)
+		wait := time.Duration(e.meanCallTime.Load()) * time.Duration(e.Open()+1)
 		if e.Hall != r.Hall {
-			wait += otherHall
+			wait += crossHallPenalty
 		}
 		if best == nil || wait < bestWait {
 			best, bestWait = e, wait
 		}
 	}
 	if best == nil {
-		return anyOf(p, r, now)
+		return chooseIgnoringEjection(p, r, now)
 	}
 	return Decision{Endpoint: best, FirstToken: bestWait}, true
 }
 
 const (
-	serviceSamples = 3
-	otherHall      = 2 * time.Millisecond // there and back, at today's distances
+	serviceCandidates = 3
+	crossHallPenalty  = 2 * time.Millisecond // round trip between halls at their current distances
 )
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -13,46 +13,46 @@
 	"github.com/shelfcrank/shelfcrank/internal/prefix"
 )
 
-// Priorities is the number of priority levels; 9 is the highest.
+// Priorities is the number of priority levels, 0 to 9; 9 is the highest.
 const Priorities = 10
 
-// Load is what an endpoint last said about itself.
+// Load is a load report of an endpoint.
 type Load struct {
-	At           time.Time       // when the report was asked for, on this instance's clock
+	At           time.Time       // when the report was requested, on the clock of this instance
 	Running      int             // sequences or calls in progress
-	QueuedTokens [Priorities]int // prompt tokens still to be computed, by priority
+	QueuedTokens [Priorities]int // prompt tokens waiting to be computed, by priority
 	PerToken     time.Duration   // time to compute one prompt token
-	Step         time.Duration   // time between two tokens of a stream at the present batch
+	Step         time.Duration   // time between two tokens of a stream at the current batch size
 }
 
-// Endpoint is one incarnation of a back end. Its identity never changes; its
-// load is updated in place by atomics, so that a report costs no copy of the
-// pool.
+// Endpoint is one incarnation of an endpoint, with its load. The exported fields
+// are immutable. The load and the failure state are atomics that are updated in
+// place, so that a load report needs no copy of the pool.
 type Endpoint struct {
 	ID          string
 	Incarnation uint64
-	Key         string // ID and incarnation
+	Key         string // ID#Incarnation
 	Addr        netip.AddrPort
 	Hall        string
-	Model       string        // model or service that it serves
-	Blocks      *prefix.Index // nil for a plain service
-	JoinedAt    time.Time
-
-	seed    uint64
-	load    atomic.Pointer[Load]
-	open    atomic.Int64 // own requests in progress
-	pending atomic.Int64 // own prompt tokens sent since the last report was asked for
-	ewma    atomic.Int64 // mean time of a service call, in nanoseconds
-	fails   atomic.Int64 // failures in a row
-	restAt  atomic.Int64 // no new work before this time, in Unix nanoseconds
-	askedAt atomic.Int64 // until when it asked for rest, in Unix nanoseconds
+	Model       string        // name of the model or service that it serves
+	Blocks      *prefix.Index // prompt blocks expected in its KV cache; nil for a plain service
+	JoinedAt    time.Time     // when this instance added it; slow start begins here
+
+	hash                uint64 // of the ID, for rendezvous hashing
+	load                atomic.Pointer[Load]
+	open                atomic.Int64 // requests of this instance in progress
+	pending             atomic.Int64 // uncached prompt tokens sent by this instance and not yet covered by a load report
+	meanCallTime        atomic.Int64 // moving average of the duration of service calls, in nanoseconds
+	consecutiveFailures atomic.Int64
+	ejectedUntil        atomic.Int64 // outlier ejection: no new work before this time, in Unix nanoseconds
+	pausedUntil         atomic.Int64 // no calls before this time at the request of the endpoint, in Unix nanoseconds
 }
 
-// NewEndpoint returns an endpoint without load. blocks bounds what is
-// remembered of its cache; 0 for a plain service.
+// NewEndpoint returns an endpoint with no load and default token times. blocks is
+// the capacity of its prefix index; it is 0 for a plain service, which has none.
 func NewEndpoint(id string, incarnation uint64, addr netip.AddrPort, hall, model string, blocks int, now time.Time) *Endpoint {
 	e := &Endpoint{ID: id, Incarnation: incarnation, Key: fmt.Sprintf("%s#%d", id, incarnation), Addr: addr, Hall: hall, Model: model, JoinedAt: now}
-	e.seed = xxhash.Sum64String(id)
+	e.hash = xxhash.Sum64String(id)
 	if blocks > 0 {
 		e.Blocks = prefix.NewIndex(blocks)
 	}
@@ -60,115 +60,123 @@
 	return e
 }
 
+// Token times that are assumed until the first load report.
 const (
 	defaultPerToken = 100 * time.Microsecond
 	defaultStep     = 10 * time.Millisecond
 )
 
-// Load returns the last report.
+// Load returns the last load report.
 func (e *Endpoint) Load() Load { return *e.load.Load() }
 
-// Mark returns a mark to hand to Report with the answer to a question for load
-// that is asked now.
+// PendingTokens returns the number of prompt tokens sent and not yet covered by a
+// load report. Read it just before a report is requested and pass it to Report.
 func (e *Endpoint) Mark() int64 { return e.pending.Load() }
 
-// Report takes a load report. What was sent before the question was asked is
-// in the report and no longer counted apart.
-func (e *Endpoint) Report(l Load, mark int64) {
+// Report stores a load report. pendingAtRequest is the value of PendingTokens when
+// the report was requested: the report includes those tokens, so they no longer
+// count as pending.
+func (e *Endpoint) Report(l Load, pendingAtRequest int64) {
 	e.load.Store(&l)
-	e.pending.Add(-mark)
+	e.pending.Add(-pendingAtRequest)
 }
 
-// Begin counts a request that is being sent, with its uncached prompt tokens.
+// Begin counts a request as in progress and its uncached prompt tokens as pending.
+// The caller must call End when the request ends.
 func (e *Endpoint) Begin(tokens int) {
 	e.open.Add(1)
 	e.pending.Add(int64(tokens))
 }
 
-// End counts a request as finished.
+// End counts a request as no longer in progress.
 func (e *Endpoint) End() { e.open.Add(-1) }
 
-// Open returns the number of own requests in progress.
+// Open returns the number of requests of this instance in progress.
 func (e *Endpoint) Open() int { return int(e.open.Load()) }
 
+// Parameters of outlier ejection.
 const (
-	failsToRest = 3
-	restBase    = time.Second
-	restMost    = 30 * time.Second
+	ejectionThreshold = 3           // consecutive failures
+	ejectionBase      = time.Second // duration of the first ejection; doubles with each further failure
+	ejectionMax       = 30 * time.Second
 )
 
-// Succeeded notes a good answer and how long it took.
+// Succeeded records a successful call and its duration. It resets the count of
+// consecutive failures and updates the moving average of the call duration, of
+// which the new call makes up 1/8.
 func (e *Endpoint) Succeeded(took time.Duration) {
-	e.fails.Store(0)
-	old := e.ewma.Load()
+	e.consecutiveFailures.Store(0)
+	old := e.meanCallTime.Load()
 	if old == 0 {
-		e.ewma.Store(int64(took))
+		e.meanCallTime.Store(int64(took))
 		return
 	}
-	e.ewma.Store(old + (int64(took)-old)/8)
+	e.meanCallTime.Store(old + (int64(took)-old)/8)
 }
 
-// Failed notes a failure. It reports whether the endpoint now rests: after
-// three failures in a row it gets no work for a second, then two, four, and
-// so on up to half a minute.
+// Failed records a failed call. From the third consecutive failure on, each one
+// ejects the endpoint from routing: for 1 s, then 2 s, 4 s and so on, up to 30 s.
+// It reports whether this failure is the one that reached the threshold.
 func (e *Endpoint) Failed(now time.Time) bool {
-	n := e.fails.Add(1)
-	if n < failsToRest {
+	n := e.consecutiveFailures.Add(1)
+	if n < ejectionThreshold {
 		return false
 	}
-	rest := min(restBase<<min(n-failsToRest, 10), restMost)
-	e.restAt.Store(now.Add(rest).UnixNano())
-	return n == failsToRest
+	ejection := min(ejectionBase<<min(n-ejectionThreshold, 10), ejectionMax)
+	e.ejectedUntil.Store(now.Add(ejection).UnixNano())
+	return n == ejectionThreshold
 }
 
-// RestUntil keeps all calls from an endpoint that asked for it until a time. A shorter rest
-// does not take back a longer one. It reports whether the endpoint did not rest already.
+// PauseUntil stops all calls to the endpoint until the given time, as the endpoint
+// requested in an answer. An earlier time than one already set has no effect. It
+// reports whether the endpoint was not paused before.
 func (e *Endpoint) RestUntil(until, now time.Time) bool {
 	for {
-		old := e.askedAt.Load()
+		old := e.pausedUntil.Load()
 		if until.UnixNano() <= old {
 			return false
 		}
-		if e.askedAt.CompareAndSwap(old, until.UnixNano()) {
+		if e.pausedUntil.CompareAndSwap(old, until.UnixNano()) {
 			return old <= now.UnixNano()
 		}
 	}
 }
 
-// AskedForRest reports whether the endpoint wants no calls for now, those for its load
-// included.
-func (e *Endpoint) AskedForRest(now time.Time) bool { return now.UnixNano() < e.askedAt.Load() }
+// Paused reports whether the endpoint requested that no calls be made for now.
+// This includes requests for load reports.
+func (e *Endpoint) AskedForRest(now time.Time) bool { return now.UnixNano() < e.pausedUntil.Load() }
 
-// Resting reports whether the endpoint gets no work for now: it is ejected, or asked for
-// rest.
+// Unavailable reports whether the endpoint gets no work for now, because it is
+// ejected or paused. The status shows such an endpoint as resting.
 func (e *Endpoint) Resting(now time.Time) bool {
-	return now.UnixNano() < e.restAt.Load() || e.AskedForRest(now)
+	return now.UnixNano() < e.ejectedUntil.Load() || e.AskedForRest(now)
 }
 
-// Hall is the part of a pool that is in one hall.
+// Hall holds the endpoints of a pool that are in one hall.
 type Hall struct {
 	Name      string
 	Endpoints []*Endpoint // sorted by ID
-	seed      uint64
+	hash      uint64      // of the name, for rendezvous hashing
 }
 
-// Pool is the immutable set of endpoints that may get new work for one model
-// or service. A change copies one hall's slice, not the fleet.
+// Pool is the immutable set of endpoints that may get new work for one model or
+// service. With and Without copy the slice of one hall, not those of all halls.
 type Pool struct {
-	Model string
+	Model string // name of the model or service
 	Halls []Hall // sorted by name
-	Size  int
+	Size  int    // number of endpoints
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool for a model or service.
 func NewPool(model string) *Pool { return &Pool{Model: model} }
 
-// With returns a pool that has e instead of any other incarnation of it.
+// With returns a copy of the pool that contains e in place of any other incarnation
+// with the same ID.
 func (p *Pool) With(e *Endpoint) *Pool {
 	q := p.Without(e.ID)
 	i, ok := slices.BinarySearchFunc(q.Halls, e.Hall, compareHall)
 	if !ok {
-		q.Halls = slices.Insert(q.Halls, i, Hall{Name: e.Hall, seed: xxhash.Sum64String(e.Hall)})
+		q.Halls = slices.Insert(q.Halls, i, Hall{Name: e.Hall, hash: xxhash.Sum64String(e.Hall)})
 	}
 	h := &q.Halls[i]
 	j, _ := slices.BinarySearchFunc(h.Endpoints, e.ID, compareEndpoint)
@@ -177,7 +185,7 @@
 	return q
 }
 
-// Without returns a pool that lacks the endpoint.
+// Without returns a copy of the pool without the endpoint with this ID.
 func (p *Pool) Without(id string) *Pool {
 	q := &Pool{Model: p.Model, Halls: slices.Clone(p.Halls), Size: p.Size}
 	for i := range q.Halls {
@@ -205,7 +213,7 @@
 	return nil
 }
 
-// at returns the i-th endpoint in the order of halls and IDs.
+// at returns the i-th endpoint in order of halls and IDs, or nil if there is none.
 func (p *Pool) at(i int) *Endpoint {
 	for _, h := range p.Halls {
 		if i < len(h.Endpoints) {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,12 +1,13 @@
-// Package route decides which endpoint a request runs on.
+// Package route chooses the endpoint that a request runs on.
 //
-// The package is pure: it reads the pool's loads, draws no random number and
-// no time of its own, and keeps nothing. All entry instances come to the same
-// home endpoints for a session without talking: weighted rendezvous hashing
-// first picks halls, then endpoints within them, so that the cost of a decision
-// grows with the halls and the endpoints of two halls, not with the fleet. An
-// estimate of the time to the first token, and the price of recomputing what
-// is not cached, choose among the homes and a few others drawn at random.
+// The package performs no I/O, reads no clock and draws no random numbers; both are
+// passed in. All entry instances compute the same affinity endpoints for a session
+// without exchanging messages: weighted rendezvous hashing chooses halls first and
+// then endpoints within them, so that the cost of a decision grows with the number
+// of halls and the endpoints of two of them, not with the whole fleet. Among the
+// affinity endpoints and a few others drawn at random, the default policy chooses
+// by the estimated time to the first token and the cost of recomputing what is not
+// cached.
 package route
 
 import (
@@ -17,48 +18,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what a decision needs to know of a request.
+// Request holds what a routing decision depends on.
 type Request struct {
-	Session   uint64        // hash of what stays the same through a conversation
-	Chain     []uint64      // block hashes of the prompt
+	Session   uint64        // hash of the session key, which is the same for all turns of a conversation
+	Chain     []uint64      // hashes of the blocks of the prompt, in order
 	Tokens    int           // prompt tokens
-	Priority  int           // 0 to 9
-	Target    time.Duration // latency target of the class
-	Recompute float64       // milliseconds of lateness per recomputed token
+	Priority  int           // 0 to 9; 9 is the highest
+	Target    time.Duration // latency target of the request class
+	Recompute float64       // milliseconds of penalty per prompt token that is not cached
 	Hall      string        // hall of the entry instance
-	Draw      uint64        // random number drawn by the caller
-	Avoid     []string      // endpoints that already failed the request
-	Prefer    string        // endpoint that holds the request's KV cache
+	Draw      uint64        // random number; the caller draws it
+	Avoid     []string      // IDs of endpoints that already failed the request
+	Prefer    string        // ID of the endpoint that holds the request's KV cache, if any
 	Limits    Limits        // nil if no endpoint has a rate limit
 }
 
-// Limits tells whether this instance may send to an endpoint now by the rate limit that it
-// names.
+// Limits holds the rate limits that endpoints set for the instances that call them.
 type Limits interface {
+	// Allows reports whether the rate limit of the endpoint with this key permits a
+	// call from this instance now.
 	Allows(key string, now time.Time) bool
 }
 
-// Accepts reports whether an endpoint takes calls of this instance now: it did not ask for rest
-// and is not at its rate limit.
+// Accepts reports whether an endpoint accepts calls from this instance now: it is
+// not paused and not at its rate limit.
 func (r *Request) Accepts(e *Endpoint, now time.Time) bool {
 	return !e.AskedForRest(now) && (r.Limits == nil || r.Limits.Allows(e.Key, now))
 }
 
-// eligible reports whether an endpoint is a candidate for the request: it is not ejected and
-// accepts it, and has not failed it already.
+// eligible reports whether an endpoint is a candidate for the request: it accepts
+// calls, is not ejected, and has not failed the request already.
 func (r *Request) eligible(e *Endpoint, now time.Time) bool {
 	return !avoided(r, e.ID) && !e.Resting(now) && r.Accepts(e, now)
 }
 
-// Decision is an endpoint with what is expected of it.
+// Decision is a chosen endpoint with the estimate it was chosen by.
 type Decision struct {
 	Endpoint   *Endpoint
-	FirstToken time.Duration // estimate of the time to the first token
-	Uncached   int           // prompt tokens that the endpoint will have to compute
+	FirstToken time.Duration // estimated time to the first token, or of a service call to its completion
+	Uncached   int           // prompt tokens that the endpoint has to compute
 }
 
-// Policy chooses an endpoint of a pool. The second result is false when none
-// can take the request.
+// Policy chooses an endpoint of a pool. Choose reports false when no endpoint can
+// take the request.
 type Policy interface {
 	Choose(p *Pool, r *Request, now time.Time) (Decision, bool)
 }
@@ -71,7 +73,7 @@
 	PolicySessionHash = "session-hash"
 )
 
-// New returns the policy with this name; an unknown name gives the default.
+// New returns the policy with this name, or the default policy if there is none.
 func New(name string) Policy {
 	switch name {
 	case PolicyRoundRobin:
@@ -81,45 +83,48 @@
 	case PolicySessionHash:
 		return sessionHash{}
 	default:
-		return homes{}
+		return affinityPolicy{}
 	}
 }
 
-// Weights and times of the default policy.
+// Parameters of the default policy.
 const (
-	homeCount    = 3    // homes of a session: two in its first hall, one in its second
-	sampleCount  = 3    // other endpoints looked at
-	lateShare    = 0.6  // share of the target from which lateness is feared
-	latePrice    = 10.0 // milliseconds of penalty per feared millisecond of lateness
-	slowStart    = 5 * time.Second
-	staleLoad    = 2 * time.Second // a report older than this makes an endpoint suspect
-	stalePenalty = 500 * time.Millisecond
+	affinityCount    = 3                      // affinity endpoints of a session: two in its first hall, one in its second
+	randomCandidates = 3                      // further endpoints, drawn at random
+	lateThreshold    = 0.6                    // fraction of the latency target above which an estimate is penalized because the target may be missed
+	latePenaltyPerMs = 10.0                   // milliseconds of penalty per millisecond above the threshold
+	slowStartWindow  = 5 * time.Second        // time after joining during which open requests add to the estimate
+	staleReportAge   = 2 * time.Second        // age from which a load report is distrusted
+	stalePenalty     = 500 * time.Millisecond // added to the estimate of an endpoint whose report is stale
 )
 
-// homes is the default policy.
-type homes struct{}
+// affinityPolicy is the default policy. It scores the endpoint that holds the
+// request's KV cache, the affinity endpoints of the session and a few endpoints
+// drawn at random, and chooses the one with the lowest score. It falls back to
+// leastLoaded if none of them is eligible.
+type affinityPolicy struct{}
 
-func (homes) Choose(p *Pool, r *Request, now time.Time) (Decision, bool) {
+func (affinityPolicy) Choose(p *Pool, r *Request, now time.Time) (Decision, bool) {
 	var best Decision
 	bestScore := math.Inf(1)
-	consider := func(e *Endpoint, atHome bool) {
+	consider := func(e *Endpoint, primary bool) {
 		if e == nil || !r.eligible(e, now) {
 			return
 		}
 		d := Estimate(e, r, now)
-		if s := score(d, r, atHome); s < bestScore {
+		if s := score(d, r, primary); s < bestScore {
 			best, bestScore = d, s
 		}
 	}
 	if r.Prefer != "" {
 		consider(p.Find(r.Prefer), true)
 	}
-	var home [homeCount]*Endpoint
-	n := Homes(p, r.Session, home[:])
-	for i, e := range home[:n] {
+	var affine [affinityCount]*Endpoint
+	n := Homes(p, r.Session, affine[:])
+	for i, e := range affine[:n] {
 		consider(e, i == 0)
 	}
-	for i := range sampleCount {
+	for i := range randomCandidates {
 		if p.Size > 0 {
 			consider(p.at(int(mix(r.Draw, uint64(i))%uint64(p.Size))), false)
 		}
@@ -130,27 +135,32 @@
 	return best, true
 }
 
-// score is the price of a decision in milliseconds. What is computed away from
-// the session's first home is paid for twice: the next turn comes in at another
-// entry instance, which looks at the first home and may not know of this
-// place yet, so that it will be computed again.
-func score(d Decision, r *Request, atHome bool) float64 {
+// score returns the cost of a decision in milliseconds: the estimated time to the
+// first token, a penalty for the prompt tokens to compute, and a penalty for an
+// estimate near or above the latency target. primary reports whether the endpoint
+// is the session's first affinity endpoint or already holds its KV cache. On any
+// other endpoint the tokens to compute count twice: the next turn may arrive at
+// another entry instance, which looks at the first affinity endpoint and may not
+// know of the cache on this one, so the tokens would be computed again.
+func score(d Decision, r *Request, primary bool) float64 {
 	ms := float64(d.FirstToken) / float64(time.Millisecond)
-	late := ms - lateShare*float64(r.Target)/float64(time.Millisecond)
+	late := ms - lateThreshold*float64(r.Target)/float64(time.Millisecond)
 	s := ms + r.Recompute*float64(d.Uncached)
-	if !atHome {
+	if !primary {
 		s += r.Recompute * float64(d.Uncached)
 	}
 	if late > 0 {
-		s += latePrice * late
+		s += latePenaltyPerMs * late
 	}
 	return s
 }
 
-// Estimate returns what to expect of an endpoint: the prompt tokens queued at
-// the request's priority or above, as last reported and less what was computed
-// since, plus what this instance sent since, plus the uncached part of the
-// prompt.
+// Estimate returns the expected time to the first token and the number of uncached
+// prompt tokens if the request ran on e. The endpoint has to compute the prompt
+// tokens that it last reported as queued at the request's priority or above, minus
+// those computed since the report, plus those this instance has sent since, plus
+// the uncached part of the prompt. An endpoint with a stale report or in slow start
+// has time added.
 func Estimate(e *Endpoint, r *Request, now time.Time) Decision {
 	l := e.load.Load()
 	uncached := r.Tokens
@@ -168,33 +178,36 @@
 	}
 	queued += max(0, int(e.pending.Load()))
 	first := time.Duration(queued+uncached)*l.PerToken + l.Step
-	if age > staleLoad {
+	if age > staleReportAge {
 		first += stalePenalty
 	}
-	if fresh := now.Sub(e.JoinedAt); fresh < slowStart && e.Open() > 0 {
-		first += time.Duration(e.Open()) * l.Step * time.Duration(slowStart-fresh) / slowStart
+	if joined := now.Sub(e.JoinedAt); joined < slowStartWindow && e.Open() > 0 {
+		first += time.Duration(e.Open()) * l.Step * time.Duration(slowStartWindow-joined) / slowStartWindow
 	}
 	return Decision{Endpoint: e, FirstToken: first, Uncached: uncached}
 }
 
-// Homes writes the homes of a session into out and returns how many there are.
-// The first ones are in the session's first hall, the last one in its second.
+// AffinityEndpoints writes the affinity endpoints of a session into out, up to its
+// length, and returns their number. They are in order of preference: two in the
+// session's first hall, then one in its second.
 func Homes(p *Pool, session uint64, out []*Endpoint) int {
 	first, second := rankHalls(p, session)
 	n := 0
 	if first >= 0 {
 		a, b := rankEndpoints(p.Halls[first].Endpoints, session)
-		n = put(out, n, a)
-		n = put(out, n, b)
+		n = appendIfRoom(out, n, a)
+		n = appendIfRoom(out, n, b)
 	}
 	if second >= 0 {
 		a, _ := rankEndpoints(p.Halls[second].Endpoints, session)
-		n = put(out, n, a)
+		n = appendIfRoom(out, n, a)
 	}
 	return n
 }
 
-func put(out []*Endpoint, n int, e *Endpoint) int {
+// appendIfRoom sets out[n] to e and returns n+1, or returns n if e is nil or out is
+// full.
+func appendIfRoom(out []*Endpoint, n int, e *Endpoint) int {
 	if e == nil || n >= len(out) {
 		return n
 	}
@@ -202,14 +215,15 @@
 	return n + 1
 }
 
-// rankHalls returns the two best halls by rendezvous hashing weighted with
-// their number of endpoints, so that each endpoint is home to as many sessions.
+// rankHalls returns the indices of the two highest-ranked halls for a session, or -1
+// for a hall that does not exist. It uses rendezvous hashing weighted by the number
+// of endpoints in a hall, so that each endpoint gets the same share of sessions.
 func rankHalls(p *Pool, session uint64) (first, second int) {
 	first, second = -1, -1
 	var firstScore, secondScore float64
 	for i := range p.Halls {
 		h := &p.Halls[i]
-		u := (float64(mix(session, h.seed)>>11) + 0.5) / (1 << 53)
+		u := (float64(mix(session, h.hash)>>11) + 0.5) / (1 << 53)
 		s := -float64(len(h.Endpoints)) / math.Log(u)
 		switch {
 		case first < 0 || s > firstScore:
@@ -222,10 +236,12 @@
 	return first, second
 }
 
+// rankEndpoints returns the two highest-ranked endpoints for a session by rendezvous
+// hashing, or nil for one that does not exist.
 func rankEndpoints(endpoints []*Endpoint, session uint64) (first, second *Endpoint) {
 	var firstScore, secondScore uint64
 	for _, e := range endpoints {
-		s := mix(session, e.seed)
+		s := mix(session, e.hash)
 		switch {
 		case first == nil || s > firstScore:
 			second, secondScore = first, firstScore
@@ -237,6 +253,7 @@
 	return first, second
 }
 
+// mix hashes two numbers into one.
 func mix(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
@@ -244,6 +261,7 @@
 	return xxhash.Sum64(buf[:])
 }
 
+// avoided reports whether the endpoint with this ID already failed the request.
 func avoided(r *Request, id string) bool {
 	for _, a := range r.Avoid {
 		if a == id {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -29,27 +29,27 @@
 func TestHomesAreEvenAndStable(t *testing.T) {
 	is := is.New(t)
 	p := testPool(40, 4)
-	gone := p.at(7)
-	q := p.Without(gone.ID)
-	homeOf := make(map[string]int)
+	removed := p.at(7)
+	q := p.Without(removed.ID)
+	sessionsOf := make(map[string]int)
 	moved := 0
 	const sessions = 20_000
 	for s := range uint64(sessions) {
-		var a, b [homeCount]*Endpoint
+		var a, b [affinityCount]*Endpoint
 		Homes(p, mix(s, 1), a[:])
 		Homes(q, mix(s, 1), b[:])
-		homeOf[a[0].ID]++
-		if a[0] != gone && a[0] != b[0] {
+		sessionsOf[a[0].ID]++
+		if a[0] != removed && a[0] != b[0] {
 			moved++
 		}
-		is.True(a[0].Hall != a[2].Hall) // the last home is in another hall
+		is.True(a[0].Hall != a[2].Hall) // the last affinity endpoint is in another hall
 	}
-	for id, n := range homeOf {
+	for id, n := range sessionsOf {
 		if n < sessions/40*7/10 || n > sessions/40*13/10 {
-			t.Errorf("%s is home to %d sessions, want about %d", id, n, sessions/40)
+			t.Errorf("%s is the first affinity endpoint of %d sessions, want about %d", id, n, sessions/40)
 		}
 	}
-	is.True(moved < sessions*2/100) // the loss of one endpoint moves few other sessions
+	is.True(moved < sessions*2/100) // removing one endpoint moves few sessions of the others
 }
 
 func TestDefaultStaysWhereTheCacheIsUntilLate(t *testing.T) {
@@ -64,11 +64,11 @@
 	busy.QueuedTokens[5] = 1500
 	first.Endpoint.Report(busy, 0)
 	again, _ := New(PolicyDefault).Choose(p, r, t0)
-	is.Equal(again.Endpoint.ID, first.Endpoint.ID) // 150 ms of queue is cheaper than 2,000 tokens
+	is.Equal(again.Endpoint.ID, first.Endpoint.ID) // 150 ms of queue costs less than recomputing 2,000 tokens
 	busy.QueuedTokens[5] = 30_000
 	first.Endpoint.Report(busy, 0)
 	late, _ := New(PolicyDefault).Choose(p, r, t0)
-	is.True(late.Endpoint.ID != first.Endpoint.ID) // 3 s of queue is not
+	is.True(late.Endpoint.ID != first.Endpoint.ID) // 3 s of queue costs more
 }
 
 func TestHigherPriorityDoesNotCountLowerQueue(t *testing.T) {
@@ -95,7 +95,7 @@
 			is := is.New(t)
 			p := testPool(6, 2)
 			for i := range 3 {
-				for range failsToRest {
+				for range ejectionThreshold {
 					p.at(i).Failed(t0)
 				}
 			}
@@ -109,18 +109,18 @@
 				is.True(d.Endpoint.ID != p.at(3).ID)
 			}
 			for i := range 6 {
-				for range failsToRest {
+				for range ejectionThreshold {
 					p.at(i).Failed(t0)
 				}
 			}
 			_, ok := policy.Choose(p, &Request{Tokens: 10, Target: time.Second}, t0)
-			is.True(ok) // the floor: with all resting, one is tried all the same
+			is.True(ok) // if all endpoints are ejected, one is tried nevertheless
 		})
 	}
 }
 
-// An endpoint that asked for rest gets none of the work until its end, neither a good
-// answer nor a shorter rest takes it back.
+// A pause requested by an endpoint lasts until its end for every policy: neither a
+// successful call, a failure nor an earlier end time shortens it.
 func TestARestThatWasAskedForIsKept(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -136,7 +136,7 @@
 		_, ok = New(name).Choose(p, &Request{}, now.Add(3*time.Second))
 		is.True(ok)
 	}
-	is.True(e.RestUntil(now.Add(9*time.Second), now.Add(5*time.Second))) // another one
+	is.True(e.RestUntil(now.Add(9*time.Second), now.Add(5*time.Second))) // a new pause
 }
 
 func TestPoolKeepsOneIncarnation(t *testing.T) {
@@ -146,7 +146,7 @@
 	q := p.With(e)
 	is.Equal(q.Size, 5)
 	is.Equal(q.Find("e0003").Incarnation, uint64(2))
-	is.Equal(p.Find("e0003").Incarnation, uint64(1)) // the old pool is untouched
+	is.Equal(p.Find("e0003").Incarnation, uint64(1)) // the original pool is unchanged
 }
 
 func BenchmarkChoose(b *testing.B) {
