--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -21,7 +21,7 @@
 	b.ReportMetric(float64(granted)/float64(b.N), "granted/op")
 }
 
-// BenchmarkInstall is the cost of a change of view for one keeper.
+// BenchmarkInstall measures the cost of a view change for one replica.
 func BenchmarkInstall(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 330} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -37,7 +37,7 @@
 		is.Equal(len(g), GroupSize)
 		is.True(g[0].Hall != g[1].Hall && g[1].Hall != g[2].Hall && g[0].Hall != g[2].Hall)
 		if !hasMember(g, v.Members[0].ID) {
-			is.True(sameMembers(g, w.Group(s))) // only groups of the member that left change
+			is.True(sameMembers(g, w.Group(s))) // only the groups of the removed member change
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	is.True(k.Install(v2, t0, retention))
 	vote := Vote{Epoch: v2.Epoch, Key: "k", Attempt: "a", Lapse: t0.Add(time.Hour)}
 	is.Equal(k.Vote(vote, t0).Outcome, NotReady)
-	late := t0.Add(transferWait)
+	late := t0.Add(transferTimeout)
 	is.Equal(k.Vote(vote, late).Outcome, Unknown)
 	fresh := vote
 	fresh.Key, fresh.Fresh = "k2", true
@@ -68,168 +68,174 @@
 	b := a
 	b.Attempt = "b"
 	is.Equal(k.Vote(a, t0).Outcome, Granted)
-	is.Equal(k.Vote(a, t0).Outcome, Granted) // the same question again
+	is.Equal(k.Vote(a, t0).Outcome, Granted) // a repeated request
 	is.Equal(k.Vote(b, t0).Outcome, Taken)
 	k.Release("k", "a", t0.Add(time.Hour))
-	is.Equal(k.Vote(a, t0).Outcome, Taken) // a late question of an attempt that gave up
+	is.Equal(k.Vote(a, t0).Outcome, Taken) // a late request of a released attempt
 	is.Equal(k.Vote(b, t0).Outcome, Granted)
 	c := b
 	c.Attempt, c.Digest = "c", 7
-	is.Equal(k.Vote(c, t0).Outcome, Conflict) // another request under the same key
+	is.Equal(k.Vote(c, t0).Outcome, Conflict) // a different request under the same key
 	is.Equal(len(k.Expire(t0.Add(time.Hour))), 1)
 }
 
-// model is a set of keepers with messages that are delayed, reordered,
-// repeated and lost, members that die and are replaced, and views that change
-// at each node at its own time.
+// model simulates a set of replicas. Messages are delayed, reordered, duplicated and
+// lost; members crash and are replaced; and each instance installs a view at its own time.
 type model struct {
 	rnd      *rand.Rand
 	now      time.Time
-	keepers  map[string]*Keeper
+	replicas map[string]*Keeper
 	views    []*View
 	attempts []*attempt
-	mail     []func()
-	runs     map[string]int
-	born     int
+	messages []func()
+	runs     map[string]int // how many attempts won, by key
+	lastID   int            // counter for the IDs of attempts and members
 }
 
 type attempt struct {
 	vote    Vote
 	view    *View
 	granted map[string]bool
-	over    bool // ran or gave up
+	ended   bool // won or was abandoned
 }
 
 func newModel(seed uint64) *model {
-	m := &model{rnd: rand.New(rand.NewPCG(seed, 1)), now: t0, keepers: make(map[string]*Keeper), runs: make(map[string]int)}
+	m := &model{rnd: rand.New(rand.NewPCG(seed, 1)), now: t0, replicas: make(map[string]*Keeper), runs: make(map[string]int)}
 	v := (&View{}).Next(members(modelMembers, 4))
 	m.views = []*View{v}
 	for _, mem := range v.Members {
-		m.keepers[mem.ID] = NewKeeper(mem.ID)
-		m.keepers[mem.ID].Install(v, m.now, retention)
+		m.replicas[mem.ID] = NewKeeper(mem.ID)
+		m.replicas[mem.ID].Install(v, m.now, retention)
 	}
 	return m
 }
 
+// send puts a message in transit; it may be lost or duplicated.
 func (m *model) send(f func()) {
 	switch m.rnd.IntN(10) {
 	case 0: // lost
-	case 1: // repeated
-		m.mail = append(m.mail, f, f)
+	case 1: // duplicated
+		m.messages = append(m.messages, f, f)
 	default:
-		m.mail = append(m.mail, f)
+		m.messages = append(m.messages, f)
 	}
 }
 
+// deliver delivers a random message in transit.
 func (m *model) deliver() {
-	if len(m.mail) == 0 {
+	if len(m.messages) == 0 {
 		return
 	}
-	i := m.rnd.IntN(len(m.mail))
-	f := m.mail[i]
-	m.mail = append(m.mail[:i], m.mail[i+1:]...)
+	i := m.rnd.IntN(len(m.messages))
+	f := m.messages[i]
+	m.messages = append(m.messages[:i], m.messages[i+1:]...)
 	f()
 }
 
-// ask starts an attempt at a key by an owner that may have an old view.
-func (m *model) ask() {
-	key := fmt.Sprintf("key-%d", len(m.attempts)/40+m.rnd.IntN(modelKeys)) // old keys and new ones
+// startAttempt starts an attempt at a key. Its owner may still be in the previous view.
+func (m *model) startAttempt() {
+	key := fmt.Sprintf("key-%d", len(m.attempts)/40+m.rnd.IntN(modelKeys)) // reuses recent keys and introduces new ones over time
 	view := m.views[len(m.views)-1-m.rnd.IntN(min(2, len(m.views)))]
-	m.born++
+	m.lastID++
 	a := &attempt{view: view, granted: make(map[string]bool)}
-	a.vote = Vote{Epoch: view.Epoch, Key: key, Attempt: fmt.Sprintf("a%d", m.born), Lapse: m.now.Add(retention)}
+	a.vote = Vote{Epoch: view.Epoch, Key: key, Attempt: fmt.Sprintf("a%d", m.lastID), Lapse: m.now.Add(retention)}
 	m.attempts = append(m.attempts, a)
 	for _, mem := range view.Group(ShardOf(key)) {
 		m.send(func() { m.voteAt(mem.ID, a) })
 	}
 }
 
+// voteAt requests the vote of one replica and sends the answer back. The attempt runs
+// once it has a majority.
 func (m *model) voteAt(id string, a *attempt) {
-	k, ok := m.keepers[id]
+	k, ok := m.replicas[id]
 	if !ok {
 		return
 	}
 	ans := k.Vote(a.vote, m.now)
 	m.send(func() {
-		if ans.Outcome != Granted || a.over {
+		if ans.Outcome != Granted || a.ended {
 			return
 		}
 		a.granted[id] = true
 		if len(a.granted) >= Majority(len(a.view.Group(ShardOf(a.vote.Key)))) {
-			a.over = true
+			a.ended = true
 			m.runs[a.vote.Key]++
 		}
 	})
 }
 
-// giveUp ends an attempt that has not run and releases its votes.
-func (m *model) giveUp() {
+// abandon ends a random attempt that has not run and releases its votes.
+func (m *model) abandon() {
 	if len(m.attempts) == 0 {
 		return
 	}
 	a := m.attempts[m.rnd.IntN(len(m.attempts))]
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
+	a.ended = true
 	for _, mem := range a.view.Group(ShardOf(a.vote.Key)) {
 		m.send(func() {
-			if k, ok := m.keepers[mem.ID]; ok {
+			if k, ok := m.replicas[mem.ID]; ok {
 				k.Release(a.vote.Key, a.vote.Attempt, a.vote.Lapse)
 			}
 		})
 	}
 }
 
-// change proposes a view in which one or two members left, died or were
-// replaced. Mostly it waits until all keepers that live are ready, as the
-// proposer does; now and then it does not.
-func (m *model) change() {
+// proposeView creates a view in which one or two members are replaced; some of them
+// crash. In most cases it does so only if all running replicas are ready, as the
+// proposer does; in some it does not wait.
+func (m *model) proposeView() {
 	cur := m.views[len(m.views)-1]
-	if m.rnd.IntN(8) > 0 && !m.settled(cur) {
+	if m.rnd.IntN(8) > 0 && !m.allReady(cur) {
 		return
 	}
 	next := append([]Member(nil), cur.Members...)
 	for range 1 + m.rnd.IntN(2) {
 		i := m.rnd.IntN(len(next))
 		if m.rnd.IntN(10) == 0 {
-			delete(m.keepers, next[i].ID) // died without notice
+			delete(m.replicas, next[i].ID) // crashed
 		}
-		m.born++
-		mem := Member{ID: fmt.Sprintf("m%d#1", m.born), Hall: next[i].Hall}
-		m.keepers[mem.ID] = NewKeeper(mem.ID)
+		m.lastID++
+		mem := Member{ID: fmt.Sprintf("m%d#1", m.lastID), Hall: next[i].Hall}
+		m.replicas[mem.ID] = NewKeeper(mem.ID)
 		next[i] = mem
 	}
 	m.views = append(m.views, cur.Next(next))
 }
 
-func (m *model) settled(v *View) bool {
+// allReady reports whether all running replicas have installed the view and are ready.
+func (m *model) allReady(v *View) bool {
 	for _, mem := range v.Members {
-		if k, ok := m.keepers[mem.ID]; ok && (k.View() != v || !k.Ready()) {
+		if k, ok := m.replicas[mem.ID]; ok && (k.View() != v || !k.Ready()) {
 			return false
 		}
 	}
 	return true
 }
 
+// install installs one of the two newest views on a random member.
 func (m *model) install() {
 	v := m.views[len(m.views)-1-m.rnd.IntN(min(2, len(m.views)))]
 	mem := v.Members[m.rnd.IntN(len(v.Members))]
-	if k, ok := m.keepers[mem.ID]; ok {
+	if k, ok := m.replicas[mem.ID]; ok {
 		k.Install(v, m.now, retention)
 	}
 }
 
+// transfer requests the pending transfers of a random member.
 func (m *model) transfer() {
 	v := m.views[len(m.views)-1]
 	mem := v.Members[m.rnd.IntN(len(v.Members))]
-	k, ok := m.keepers[mem.ID]
+	k, ok := m.replicas[mem.ID]
 	if !ok || k.View() == nil {
 		return
 	}
 	for _, old := range k.Missing() {
 		m.send(func() {
-			from, ok := m.keepers[old.ID]
+			from, ok := m.replicas[old.ID]
 			if !ok {
 				return
 			}
@@ -244,15 +250,15 @@
 func (m *model) step() {
 	switch n := m.rnd.IntN(100); {
 	case n < 16:
-		m.ask()
+		m.startAttempt()
 	case n < 62:
-		for range 4 { // faster than messages are made, so that none waits for ever
+		for range 4 { // faster than messages are sent, so that each is delivered eventually
 			m.deliver()
 		}
 	case n < 63:
-		m.giveUp()
+		m.abandon()
 	case n < 65:
-		m.change()
+		m.proposeView()
 	case n < 82:
 		m.install()
 	case n < 97:
@@ -262,7 +268,7 @@
 	}
 }
 
-// seeds returns how many random runs to make; SHELFCRANK_SEEDS raises it.
+// seeds returns the number of random runs; SHELFCRANK_SEEDS overrides it.
 func seeds(fixed int) int {
 	if n, err := strconv.Atoi(os.Getenv("SHELFCRANK_SEEDS")); err == nil {
 		return n
@@ -276,7 +282,7 @@
 		m := newModel(seed)
 		for range modelSteps {
 			m.step()
-			// Time stays within the lapse of the first claim, so no key may run twice.
+			// No claim expires in this time, so no key may run twice.
 			if m.now.Sub(t0) > retention/2 {
 				break
 			}
@@ -289,7 +295,7 @@
 		}
 	}
 	if won == 0 {
-		t.Fatal("no attempt ever won: the model proves nothing")
+		t.Fatal("no attempt won a vote, so the invariant was not exercised")
 	}
 	t.Logf("%d keys ran once", won)
 }
--- a/internal/claim/view.go
+++ b/internal/claim/view.go
@@ -13,13 +13,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shard is a part of the key space.
+// Shard is the number of a part of the key space.
 type Shard uint16
 
-// Shards is the number of shards; it is the same in all versions.
+// Shards is the number of shards. It must be the same in all versions.
 const Shards = 256
 
-// GroupSize is the number of keepers of a shard.
+// GroupSize is the number of replicas of a shard.
 const GroupSize = 3
 
 // ShardOf returns the shard of a key.
@@ -27,34 +27,35 @@
 
 // Member is an entry instance in a view.
 type Member struct {
-	ID   string         `json:"id"` // NAME#INCARNATION
+	ID   string         `json:"id"` // name and incarnation: NAME#INCARNATION
 	Hall string         `json:"hall"`
-	Addr netip.AddrPort `json:"address"` // peer address
+	Addr netip.AddrPort `json:"address"` // address for calls between instances
 }
 
-// View is an agreed set of keepers. It is changed rarely, by compare-and-swap
-// in the platform's key-value service. Before has the members of the view
-// before it, whose claims have to be collected.
+// View is the agreed set of entry instances that store claims. It changes rarely, by
+// compare-and-swap in the key-value service of the platform. Previous holds the
+// members of the preceding view, whose claims have to be transferred.
 type View struct {
-	Epoch   uint64   `json:"epoch"`
-	Members []Member `json:"members"` // sorted by ID
-	Before  []Member `json:"before,omitempty"`
+	Epoch    uint64   `json:"epoch"`   // number of the view; each change increments it
+	Members  []Member `json:"members"` // sorted by ID
+	Previous []Member `json:"before,omitempty"`
 
-	once sync.Once // fills the groups, which follow from the fields above
-	now  [Shards][]Member
-	old  [Shards][]Member
+	groupsOnce     sync.Once // computes the groups from the fields above
+	groups         [Shards][]Member
+	previousGroups [Shards][]Member
 }
 
-func (v *View) fill() {
-	v.once.Do(func() {
+// computeGroups computes the groups of all shards on the first call.
+func (v *View) computeGroups() {
+	v.groupsOnce.Do(func() {
 		for s := range Shard(Shards) {
-			v.now[s] = group(v.Members, s)
-			v.old[s] = group(v.Before, s)
+			v.groups[s] = group(v.Members, s)
+			v.previousGroups[s] = group(v.Previous, s)
 		}
 	})
 }
 
-// DecodeView parses a view document.
+// DecodeView parses a stored view.
 func DecodeView(b []byte) (*View, error) {
 	var v View
 	if err := json.Unmarshal(b, &v); err != nil {
@@ -63,7 +64,7 @@
 	return &v, nil
 }
 
-// Encode returns the view document.
+// Encode returns the view in its stored form.
 func (v *View) Encode() ([]byte, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -72,19 +73,19 @@
 	return b, nil
 }
 
-// Next returns the view that follows v with other members.
+// Next returns the successor of v with the given members.
 func (v *View) Next(members []Member) *View {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
-	return &View{Epoch: v.Epoch + 1, Members: members, Before: v.Members}
+	return &View{Epoch: v.Epoch + 1, Members: members, Previous: v.Members}
 }
 
-// Has reports whether a member is in the view.
+// Has reports whether the view contains a member with this ID.
 func (v *View) Has(id string) bool {
 	return slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID == id })
 }
 
-// Member returns the member with this ID.
+// Member returns the member with this ID, if there is one.
 func (v *View) Member(id string) (Member, bool) {
 	i := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
@@ -93,25 +94,27 @@
 	return v.Members[i], true
 }
 
-// Group returns the keepers of a shard, best first.
+// Group returns the replicas of a shard, highest-ranked first.
 func (v *View) Group(s Shard) []Member {
-	v.fill()
-	return v.now[s]
+	v.computeGroups()
+	return v.groups[s]
 }
 
-// OldGroup returns the keepers of a shard in the view before.
-func (v *View) OldGroup(s Shard) []Member {
-	v.fill()
-	return v.old[s]
+// PreviousGroup returns the replicas of a shard in the preceding view.
+func (v *View) PreviousGroup(s Shard) []Member {
+	v.computeGroups()
+	return v.previousGroups[s]
 }
 
+// ranked is a member with its rendezvous hashing score for a shard.
 type ranked struct {
 	Member
 	score uint64
 }
 
-// group ranks members by rendezvous hashing and takes the first of each hall;
-// with too few halls it fills up with the next best.
+// group returns the replicas of a shard: members are ranked by rendezvous hashing, and
+// the highest-ranked member of each hall is taken. If there are too few halls, the
+// highest-ranked remaining members complete the group.
 func group(members []Member, s Shard) []Member {
 	all := make([]ranked, len(members))
 	for i, m := range members {
@@ -134,10 +137,11 @@
 	return out
 }
 
+// rank returns the rendezvous hashing score of a member for a shard.
 func rank(id string, s Shard) uint64 {
 	b := binary.LittleEndian.AppendUint16([]byte(id+"/"), uint16(s))
 	return xxhash.Sum64(b)
 }
 
-// Majority returns how many of n votes decide.
+// Majority returns the number of votes that form a majority of n.
 func Majority(n int) int { return n/2 + 1 }
