--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// BenchmarkMemory reports the bytes that a record takes, with its prompt and
-// its tokens.
+// BenchmarkMemory reports the memory that a record takes with its prompt and tokens.
 func BenchmarkMemory(b *testing.B) {
 	const (
 		records = 2000
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -13,33 +13,33 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Tokens may arrive twice, late and from two endpoints: a reader gets each
+// Tokens may arrive twice, late and from two endpoints. A reader must still get each
 // position once and in order.
 func TestAppendKeepsPositions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 50).Draw(t, "tokens")
-		whole := make([]string, n)
-		for i := range whole {
-			whole[i] = fmt.Sprint("t", i)
+		tokens := make([]string, n)
+		for i := range tokens {
+			tokens[i] = fmt.Sprint("t", i)
 		}
 		r := New(Request{ID: "a"}, "owner")
 		for r.Position() < n {
 			have := r.Position()
 			from := rapid.IntRange(0, have).Draw(t, "from")
 			to := rapid.IntRange(from, min(n, from+9)).Draw(t, "to")
-			if err := r.Append(from, whole[from:to]...); err != nil {
+			if err := r.Append(from, tokens[from:to]...); err != nil {
 				t.Fatal(err)
 			}
 			if r.Position() < have {
-				t.Fatal("the position went back")
+				t.Fatal("the position decreased")
 			}
-			if to <= have { // make progress now and then
-				_ = r.Append(have, whole[have])
+			if to <= have { // make progress at least sometimes
+				_ = r.Append(have, tokens[have])
 			}
 		}
 		p, _ := r.Progress(0)
 		for i, tok := range p.Tokens {
-			if tok != whole[i] {
+			if tok != tokens[i] {
 				t.Fatalf("token %d is %q", i, tok)
 			}
 		}
@@ -51,11 +51,11 @@
 	r := New(Request{ID: "a"}, "owner")
 	is.NoErr(r.Append(0, "x", "y"))
 	is.True(r.Append(3, "z") != nil) // a gap
-	is.True(r.Append(1, "q") != nil) // another token at a position
+	is.True(r.Append(1, "q") != nil) // a different token at the same position
 	is.True(r.Finish(Result{Status: 200}))
 	is.True(!r.Finish(Result{Failure: fault.New(fault.StepStream, "", fault.KindBroken, fault.Ran, "late")}))
 	is.True(r.Append(2, "z") != nil) // after the end
-	is.NoErr(r.Append(0, "x"))       // an old one again does no harm
+	is.NoErr(r.Append(0, "x"))       // a repeated token is accepted
 }
 
 func TestTakeOverHasOneWinner(t *testing.T) {
@@ -71,25 +71,25 @@
 	r := New(Request{ID: "a"}, "owner")
 	r.SetHolder("h", 0)
 	is.NoErr(r.Append(0, "x", "y"))
-	n, any := r.Unreported()
-	is.True(any)
-	is.Equal(n.Tokens, []string{"x", "y"})
-	r.Reported("other", n) // of a holder that was replaced
-	_, any = r.Unreported()
-	is.True(any)
-	r.Reported("h", n)
-	_, any = r.Unreported()
-	is.True(!any)
+	u, pending := r.Unreported()
+	is.True(pending)
+	is.Equal(u.Tokens, []string{"x", "y"})
+	r.Reported("other", u) // from a holder that was replaced
+	_, pending = r.Unreported()
+	is.True(pending)
+	r.Reported("h", u)
+	_, pending = r.Unreported()
+	is.True(!pending)
 	r.Finish(Result{Status: 200})
-	n, any = r.Unreported()
-	is.True(any)
-	is.Equal(n.Result.Status, 200)
-	is.True(!n.Fetched)
+	u, pending = r.Unreported()
+	is.True(pending)
+	is.Equal(u.Result.Status, 200)
+	is.True(!u.Fetched)
 	r.MarkFetched()
-	is.True(r.Reported("h", n)) // there is more to tell
-	n, any = r.Unreported()
-	is.True(any && n.Fetched)
-	is.True(!r.Reported("h", n))
+	is.True(r.Reported("h", u)) // another update is pending
+	u, pending = r.Unreported()
+	is.True(pending && u.Fetched)
+	is.True(!r.Reported("h", u))
 }
 
 func TestExpiryKeepsWhatMayNotBeRepeated(t *testing.T) {
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -9,7 +9,7 @@
 
 const storeShards = 64
 
-// Store holds records by id, up to a number of them.
+// Store holds records by ID.
 type Store struct {
 	shards [storeShards]storeShard
 }
@@ -32,7 +32,7 @@
 	return &s.shards[xxhash.Sum64String(id)%storeShards]
 }
 
-// Get returns the record with this id.
+// Get returns the record with this ID, if there is one.
 func (s *Store) Get(id string) (*Record, bool) {
 	sh := s.shard(id)
 	sh.mu.RLock()
@@ -41,8 +41,8 @@
 	return r, ok
 }
 
-// Add puts r in unless there is a record with its id; it returns the one that
-// is there afterwards, and whether it is r.
+// Add stores r unless there is already a record with its ID. It returns the stored
+// record and reports whether that is r.
 func (s *Store) Add(r *Record) (*Record, bool) {
 	sh := s.shard(r.ID)
 	sh.mu.Lock()
@@ -54,7 +54,7 @@
 	return r, true
 }
 
-// Remove takes r out.
+// Remove removes r. It does nothing if another record with the same ID is stored.
 func (s *Store) Remove(r *Record) {
 	sh := s.shard(r.ID)
 	sh.mu.Lock()
@@ -75,7 +75,7 @@
 	return n
 }
 
-// All returns the records for which keep is true.
+// Filter returns the records for which keep is true. keep must not use the store.
 func (s *Store) All(keep func(*Record) bool) []*Record {
 	var out []*Record
 	for i := range s.shards {
@@ -90,14 +90,14 @@
 	return out
 }
 
-// fetchedGrace is how long an answer that was fetched stays, for a caller
-// whose connection broke over the last bytes.
+// fetchedGrace is how long a fetched answer is kept for a caller whose connection
+// broke during the last bytes.
 const fetchedGrace = 30 * time.Second
 
-// Expired returns the records that may go: those whose deadline has passed by
-// more than the grace, and those that ended and were fetched long enough ago
-// that nobody asks for them again. A request that may not be repeated stays
-// for the retention.
+// Expired returns the records that may be removed. A repeatable request may be
+// removed fetchedGrace after its deadline, or once its answer was fetched and it
+// arrived more than twice fetchedGrace ago. A request that must not run twice is
+// kept until the retention period after its deadline.
 func (s *Store) Expired(now time.Time, retention time.Duration) []*Record {
 	return s.All(func(r *Record) bool {
 		end := r.Deadline.Add(fetchedGrace)
