--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,11 +1,12 @@
-// Package member knows the entry instances: who is alive, suspect, leaving or
-// dead.
+// Package member tracks the membership of entry instances: which are alive,
+// suspected, leaving or dead.
 //
-// News comes from the platform's lagging list, from heartbeats, and from what
-// peers report third ones. An incarnation that is leaving or was replaced
-// never comes back; a suspect or dead one that is seen again does, since
-// it was only frozen or cut off. The package is pure and belongs to one
-// goroutine.
+// Its input is heartbeats, which carry the state of their sender and what it knows
+// of other members. A suspected or dead member is alive again once a new heartbeat
+// of it is seen, because it may only have been frozen or cut off. An incarnation
+// that is leaving stays leaving, and one that was replaced never returns. The
+// package performs no I/O and reads no clock. A List is not safe for concurrent
+// use.
 package member
 
 import (
@@ -18,75 +19,78 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is known of a member.
+// State is the state of a member as determined by failure detection.
 type State int
 
-// The states.
+// States of a member.
 const (
 	Alive   State = iota
-	Suspect       // not seen for a while
-	Dead          // not seen until the dead line
+	Suspect       // no heartbeat for SuspectAfter
+	Dead          // no heartbeat for DeadAfter, or replaced by a newer incarnation
 )
 
-// String returns the word shown by status.
+// String returns the name of the state as shown by the status command.
 func (s State) String() string { return [...]string{"alive", "suspect", "dead"}[s] }
 
-// Times until a silent member changes its state.
+// Heartbeat intervals, and the times without a heartbeat after which a neighbour
+// changes state. For other members SuspectAfter and DeadAfter are multiplied by
+// indirectTimeoutFactor.
 const (
-	HeartbeatEvery = 300 * time.Millisecond
-	SparseEvery    = 700 * time.Millisecond // in a fleet larger than a full mesh
-	SuspectAfter   = 1200 * time.Millisecond
-	DeadAfter      = 3 * time.Second
-	ForgetAfter    = 2 * time.Minute
+	HeartbeatEvery          = 300 * time.Millisecond // in a full mesh
+	SparseHeartbeatInterval = 700 * time.Millisecond // if there are too many members for a full mesh
+	SuspectAfter            = 1200 * time.Millisecond
+	DeadAfter               = 3 * time.Second
+	RemoveAfter             = 2 * time.Minute // from the last heartbeat of a dead member
 )
 
-// Member is an entry instance as seen from here.
+// Member is an entry instance as seen by this one.
 type Member struct {
-	ID            string // NAME#INCARNATION
+	ID            string // name and incarnation: NAME#INCARNATION
 	Name          string
 	Hall          string
-	Addr          netip.AddrPort // peer address
+	Addr          netip.AddrPort // address for calls between instances
 	State         State
 	Leaving       bool
-	Beat          uint64 // highest heartbeat seen
+	Beat          uint64 // highest heartbeat sequence number seen
 	TableRevision uint64
 	ViewEpoch     uint64
-	SeenAt        time.Time // when a higher heartbeat was last seen, on this clock
+	SeenAt        time.Time // when the heartbeat sequence number last increased, on the clock of this instance
 }
 
-// Usable reports whether new work may be given to the member.
+// Usable reports whether the member may be given new work.
 func (m Member) Usable() bool { return m.State == Alive && !m.Leaving }
 
 // Change is a change of a member's state.
 type Change struct {
-	Member Member
-	Was    State
-	New    bool // first seen
-	Left   bool // began to leave
+	Member   Member
+	Previous State // state before the change; meaningless if New is set
+	New      bool  // the member was seen for the first time
+	Left     bool  // the member started to leave
 }
 
-// List is what this instance knows of all entry instances.
+// List is the membership as known to this instance.
 type List struct {
 	self    Member
 	members []Member // sorted by ID, without self
-	retired []string // incarnations that were replaced; newest last
+	retired []string // IDs of incarnations that were replaced, newest last
 }
 
+// maxRetired bounds the number of replaced incarnations that are kept.
 const maxRetired = 1024
 
-// NewList returns a list that knows only this instance.
+// NewList returns a list that contains only this instance.
 func NewList(self Member) *List { return &List{self: self} }
 
 // Self returns this instance.
 func (l *List) Self() Member { return l.self }
 
-// SetSelf changes what this instance says of itself.
+// SetSelf replaces the entry of this instance.
 func (l *List) SetSelf(m Member) { l.self = m }
 
-// Members returns the other instances, sorted by ID. The slice is a copy.
+// Members returns a copy of the other instances, sorted by ID.
 func (l *List) Members() []Member { return slices.Clone(l.members) }
 
-// Find returns the member with this ID.
+// Find returns the member with this ID, if there is one. It may be this instance.
 func (l *List) Find(id string) (Member, bool) {
 	if id == l.self.ID {
 		return l.self, true
@@ -98,19 +102,22 @@
 	return l.members[i], true
 }
 
+// search returns the index of the member with this ID, or the index to insert it at.
 func (l *List) search(id string) (int, bool) {
 	return slices.BinarySearchFunc(l.members, id, func(m Member, id string) int { return strings.Compare(m.ID, id) })
 }
 
-// Apply takes an update of a member, from itself or from a peer. An older one than
-// what is known is ignored.
+// Apply merges an update about a member, received from the member itself or from a
+// peer. It returns the resulting change and reports whether the state of the member
+// changed. Only an update with a higher heartbeat sequence number replaces what is
+// known, except that Leaving is always merged.
 func (l *List) Apply(m Member, now time.Time) (Change, bool) {
 	if m.ID == l.self.ID || m.ID == "" || slices.Contains(l.retired, m.ID) {
 		return Change{}, false
 	}
 	i, ok := l.search(m.ID)
 	if !ok {
-		if l.replaces(m) {
+		if l.retireOlder(m) {
 			return Change{}, false
 		}
 		m.SeenAt, m.State = now, Alive
@@ -118,7 +125,7 @@
 		return Change{Member: m, New: true, Left: m.Leaving}, true
 	}
 	old := &l.members[i]
-	c := Change{Was: old.State, Left: m.Leaving && !old.Leaving}
+	c := Change{Previous: old.State, Left: m.Leaving && !old.Leaving}
 	old.Leaving = old.Leaving || m.Leaving
 	if m.Beat > old.Beat {
 		old.Beat, old.SeenAt, old.State = m.Beat, now, Alive
@@ -127,12 +134,12 @@
 		old.Addr, old.Hall = m.Addr, m.Hall
 	}
 	c.Member = *old
-	return c, c.Left || c.Was != old.State
+	return c, c.Left || c.Previous != old.State
 }
 
-// replaces retires other incarnations under the name of m. It reports true
-// when m itself is the older one.
-func (l *List) replaces(m Member) bool {
+// retireOlder retires the known incarnations with the same name as m that are older
+// than m. It reports true if m itself is the older one.
+func (l *List) retireOlder(m Member) bool {
 	for i := range l.members {
 		o := l.members[i]
 		if o.Name != m.Name {
@@ -141,7 +148,7 @@
 		if incarnation(o.ID) > incarnation(m.ID) {
 			return true
 		}
-		l.members[i].Leaving = true // the next Tick reports it dead
+		l.members[i].Leaving = true // the next Tick reports it as dead
 		l.retired = append(l.retired, o.ID)
 		if len(l.retired) > maxRetired {
 			l.retired = l.retired[1:]
@@ -150,26 +157,26 @@
 	return false
 }
 
-// incarnation returns the sortable part of an ID after the name.
+// incarnation returns the part of an ID after the name. It sorts by age.
 func incarnation(id string) string {
 	_, inc, _ := strings.Cut(id, "#")
 	return inc
 }
 
-// Tick moves silent members on and returns the changes. Members that were
-// dead for long are forgotten.
+// Tick marks members without recent heartbeats as suspected or dead and returns the
+// changes. It removes dead members after RemoveAfter.
 func (l *List) Tick(now time.Time) []Change {
 	var changes []Change
-	near := make(map[string]bool)
+	direct := make(map[string]bool)
 	for _, m := range l.Neighbours() {
-		near[m.ID] = true
+		direct[m.ID] = true
 	}
 	for i := range l.members {
 		m := &l.members[i]
 		was := m.State
 		factor := time.Duration(1)
-		if !near[m.ID] {
-			factor = farFactor
+		if !direct[m.ID] {
+			factor = indirectTimeoutFactor
 		}
 		switch silent := now.Sub(m.SeenAt); {
 		case slices.Contains(l.retired, m.ID):
@@ -180,40 +187,43 @@
 			m.State = Suspect
 		}
 		if m.State != was {
-			changes = append(changes, Change{Member: *m, Was: was})
+			changes = append(changes, Change{Member: *m, Previous: was})
 		}
 	}
 	l.members = slices.DeleteFunc(l.members, func(m Member) bool {
-		return m.State == Dead && now.Sub(m.SeenAt) >= ForgetAfter
+		return m.State == Dead && now.Sub(m.SeenAt) >= RemoveAfter
 	})
 	return changes
 }
 
-// FullMesh is the number of members up to which each speaks with each.
+// FullMeshLimit is the number of other members from which on an instance sends
+// heartbeats to a few neighbours only instead of to all members.
 const FullMesh = 16
 
-// Neighbours of an instance in a fleet larger than a full mesh.
+// Numbers of neighbours of an instance if there are too many members for a full mesh.
 const (
-	nearMost = 4 // in its own hall
-	farMost  = 4 // in all other halls together
+	maxSameHallNeighbours  = 4 // in the hall of the instance
+	maxOtherHallNeighbours = 4 // in all other halls together
 )
 
-// Every returns how often an instance that knows n others sends heartbeats.
+// HeartbeatInterval returns the interval of heartbeats for an instance that knows n
+// other members.
 func Every(n int) time.Duration {
 	if n < FullMesh {
 		return HeartbeatEvery
 	}
-	return SparseEvery
+	return SparseHeartbeatInterval
 }
 
-// farFactor is by how much longer a member that is no neighbour may be silent:
-// updates of it come from third ones, and less often.
-const farFactor = 8
+// indirectTimeoutFactor extends the timeouts for members that are not neighbours:
+// their heartbeats are relayed by other members, and arrive less often.
+const indirectTimeoutFactor = 8
 
-// Neighbours returns the members that this instance sends heartbeats to: all
-// of a small fleet; else a few of its own hall and a few of other halls, each
-// of another hall as long as there are, which follow from the IDs so that the
-// links are spread evenly. However large the fleet, they are at most eight.
+// Neighbours returns the members that this instance sends heartbeats to. With fewer
+// than FullMeshLimit other members these are all of them. Otherwise they are a few in
+// its own hall and a few in other halls, in as many different halls as possible. The
+// choice depends on hashes of the IDs, so that the links are spread evenly. There are
+// at most eight, however many members there are.
 func (l *List) Neighbours() []Member {
 	if len(l.members) < FullMesh {
 		return l.Members()
@@ -228,22 +238,22 @@
 		return cmp.Compare(xxhash.Sum64String(l.self.ID+a.ID), xxhash.Sum64String(l.self.ID+b.ID))
 	})
 	var out []Member
-	near, far := 0, 0
-	linked := make(map[string]bool) // other halls that a neighbour is in
+	sameHall, otherHalls := 0, 0
+	linkedHalls := make(map[string]bool) // other halls that have a neighbour
 	for _, m := range ranked {
 		switch {
-		case m.Hall == l.self.Hall && near < nearMost:
-			near++
+		case m.Hall == l.self.Hall && sameHall < maxSameHallNeighbours:
+			sameHall++
 			out = append(out, m)
-		case m.Hall != l.self.Hall && !linked[m.Hall] && far < farMost:
-			far++
-			linked[m.Hall] = true
+		case m.Hall != l.self.Hall && !linkedHalls[m.Hall] && otherHalls < maxOtherHallNeighbours:
+			otherHalls++
+			linkedHalls[m.Hall] = true
 			out = append(out, m)
 		}
 	}
 	for _, m := range ranked {
-		if far < farMost && m.Hall != l.self.Hall && !slices.ContainsFunc(out, func(o Member) bool { return o.ID == m.ID }) {
-			far++
+		if otherHalls < maxOtherHallNeighbours && m.Hall != l.self.Hall && !slices.ContainsFunc(out, func(o Member) bool { return o.ID == m.ID }) {
+			otherHalls++
 			out = append(out, m)
 		}
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -17,28 +17,28 @@
 	is.Equal(len(l.Tick(t0.Add(SuspectAfter))), 1)
 	is.Equal(l.Tick(t0.Add(DeadAfter))[0].Member.State, Dead)
 	_, changed := l.Apply(Member{ID: "b#1", Name: "b", Beat: 1}, t0.Add(DeadAfter))
-	is.True(!changed) // a stale update from a third one does not revive it
+	is.True(!changed) // a stale update relayed by a peer does not revive it
 	c, changed := l.Apply(Member{ID: "b#1", Name: "b", Beat: 2}, t0.Add(DeadAfter))
 	is.True(changed)
-	is.Equal(c.Member.State, Alive) // it was only frozen
+	is.Equal(c.Member.State, Alive) // a newer heartbeat revives it
 }
 
 func TestLeavingIsSticky(t *testing.T) {
 	is := is.New(t)
 	l := NewList(Member{ID: "a#1", Name: "a"})
 	l.Apply(Member{ID: "b#1", Name: "b", Beat: 5, Leaving: true}, t0)
-	l.Apply(Member{ID: "b#1", Name: "b", Beat: 6}, t0) // a lagging view of it
+	l.Apply(Member{ID: "b#1", Name: "b", Beat: 6}, t0) // does not know yet that it is leaving
 	m, _ := l.Find("b#1")
 	is.True(m.Leaving)
 	l.Apply(Member{ID: "b#2", Name: "b", Beat: 1}, t0)
 	m, _ = l.Find("b#2")
 	is.True(m.Usable()) // a new incarnation is another member
 	changes := l.Tick(t0)
-	is.Equal(len(changes), 1) // the death of the replaced one is told, so that its records are taken over
+	is.Equal(len(changes), 1) // the replaced incarnation is reported as dead, so that its records are taken over
 	is.Equal(changes[0].Member.ID, "b#1")
 	is.Equal(changes[0].Member.State, Dead)
 	_, changed := l.Apply(Member{ID: "b#1", Name: "b", Beat: 99}, t0)
-	is.True(!changed) // the replaced one never comes back
+	is.True(!changed) // the replaced incarnation never returns
 }
 
 func TestNeighboursAreSparseWhenMany(t *testing.T) {
@@ -47,12 +47,12 @@
 	for i := range 330 {
 		l.Apply(Member{ID: fmt.Sprintf("m%03d#1", i), Name: fmt.Sprintf("m%03d", i), Hall: fmt.Sprintf("h%02d", i%20), Beat: 1}, t0.Add(time.Duration(i)))
 	}
-	n := l.Neighbours()
-	is.Equal(len(n), nearMost+farMost)
+	neighbours := l.Neighbours()
+	is.Equal(len(neighbours), maxSameHallNeighbours+maxOtherHallNeighbours)
 	halls := make(map[string]int)
-	for _, m := range n {
+	for _, m := range neighbours {
 		halls[m.Hall]++
 	}
-	is.Equal(halls["h00"], nearMost)
-	is.Equal(len(halls), 1+farMost) // the far ones are in as many halls
+	is.Equal(halls["h00"], maxSameHallNeighbours)
+	is.Equal(len(halls), 1+maxOtherHallNeighbours) // each neighbour in another hall is in a different one
 }
