--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,10 +1,10 @@
 // Package control owns the control state of an entry instance.
 //
-// One goroutine takes typed events, changes the state, and publishes an
-// immutable Snapshot through an atomic pointer. Traffic goroutines read a
-// snapshot and send events; they never touch the state. Effects are handed to
-// a subscriber in order, on a goroutine of their own, so that a slow
-// subscriber does not hold up control.
+// One goroutine processes typed events, updates the state, and publishes an
+// immutable Snapshot through an atomic pointer. Goroutines that serve requests read
+// snapshots and send events; they never access the state. Effects are delivered to a
+// subscriber in order and on a separate goroutine, so that a slow subscriber does not
+// block the control loop.
 package control
 
 import (
@@ -19,42 +19,44 @@
 )
 
 const (
-	eventQueue = 1024
-	tickEvery  = 200 * time.Millisecond
-	wedgedFor  = 2 * time.Second
+	eventQueueLen = 1024
+	tickInterval  = 200 * time.Millisecond
+	probeTimeout  = 2 * time.Second // time to answer a probe before the loop counts as stalled
 )
 
-// Loop is the control goroutine and its mailbox.
+// Loop is the control loop with its event queue.
 type Loop struct {
-	events        chan Event
-	snap          atomic.Pointer[Snapshot]
-	state         *State // owned by control
-	clock         *clock.Clock
-	recentLeaving atomic.Pointer[[]platform.Notice]
-	aliveAt       atomic.Int64 // Unix nanoseconds of the last answered probe
+	events          chan Event
+	snap            atomic.Pointer[Snapshot]
+	state           *State // accessed by the control goroutine only
+	clock           *clock.Clock
+	recentLeaving   atomic.Pointer[[]platform.Notice] // endpoints that started to leave recently
+	probeAnsweredAt atomic.Int64                      // Unix nanoseconds of the last answered probe
 
 	mu      sync.Mutex
 	pending []Effect      // guarded by mu
-	signal  chan struct{} // has room for one
+	signal  chan struct{} // capacity 1; signals that pending is not empty
 }
 
-// New returns a loop for an instance; Serve runs it. The clock may be nil.
+// New returns a control loop for an instance. It processes events while Serve runs.
+// The clock may be nil.
 func New(self member.Member, c *clock.Clock) *Loop {
-	l := &Loop{clock: c, events: make(chan Event, eventQueue), state: NewState(self), signal: make(chan struct{}, 1)}
+	l := &Loop{clock: c, events: make(chan Event, eventQueueLen), state: NewState(self), signal: make(chan struct{}, 1)}
 	l.publish()
 	l.recentLeaving.Store(&[]platform.Notice{})
-	l.aliveAt.Store(l.clock.Now().UnixNano())
+	l.probeAnsweredAt.Store(l.clock.Now().UnixNano())
 	return l
 }
 
-// Snapshot returns the newest published state.
+// Snapshot returns the most recently published state.
 func (l *Loop) Snapshot() *Snapshot { return l.snap.Load() }
 
-// RecentLeaving returns the endpoints that began to leave of late.
+// RecentLeaving returns the endpoints that started to leave recently, to be reported
+// to the other instances.
 func (l *Loop) RecentLeaving() []platform.Notice { return *l.recentLeaving.Load() }
 
-// Send hands an event to the control goroutine. It waits while the mailbox is
-// full and gives up when ctx ends.
+// Send queues an event for the control loop. It blocks while the queue is full, and
+// drops the event if ctx is done first.
 func (l *Loop) Send(ctx context.Context, e Event) {
 	select {
 	case l.events <- e:
@@ -62,10 +64,11 @@
 	}
 }
 
-// Members returns the members as the control goroutine sees them right now.
+// Members returns the current members, as of the events queued before. It returns nil
+// if ctx is done first.
 func (l *Loop) Members(ctx context.Context) []member.Member {
 	reply := make(chan []member.Member, 1)
-	l.Send(ctx, status{reply})
+	l.Send(ctx, membersRequest{reply})
 	select {
 	case m := <-reply:
 		return m
@@ -74,9 +77,9 @@
 	}
 }
 
-// Serve runs the control goroutine until ctx ends. It is a suture service.
+// Serve runs the control loop until ctx is done. It implements suture.Service.
 func (l *Loop) Serve(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		var e Event = tick{}
@@ -90,30 +93,33 @@
 	}
 }
 
+// handle processes one event and queues its effects.
 func (l *Loop) handle(e Event, now time.Time) {
 	switch e := e.(type) {
 	case probe:
 		close(e.done)
 		return
-	case status:
+	case membersRequest:
 		e.reply <- l.state.members.Members()
 		return
 	}
 	effects := l.state.Apply(e, now)
 	l.publish()
 	if _, ok := e.(tick); ok {
-		news := l.state.recentLeaving(now)
-		l.recentLeaving.Store(&news)
+		recent := l.state.recentLeaving(now)
+		l.recentLeaving.Store(&recent)
 	}
 	l.queue(effects)
 }
 
+// publish publishes the state if it has changed.
 func (l *Loop) publish() {
 	if s, changed := l.state.Snapshot(); changed || l.snap.Load() == nil {
 		l.snap.Store(&s)
 	}
 }
 
+// queue appends effects for the subscriber.
 func (l *Loop) queue(effects []Effect) {
 	if len(effects) == 0 {
 		return
@@ -127,7 +133,7 @@
 	}
 }
 
-// Effects hands each effect to act, in order, until ctx ends.
+// Effects calls act for each effect in order, until ctx is done.
 func (l *Loop) Effects(ctx context.Context, act func(Effect)) error {
 	for {
 		select {
@@ -145,29 +151,30 @@
 	}
 }
 
-// Watchdog probes the control goroutine until ctx ends and calls wedged when
-// it does not answer.
-func (l *Loop) Watchdog(ctx context.Context, wedged func()) error {
+// Watchdog probes the control loop until ctx is done, and calls onStall for each probe
+// that is not answered within probeTimeout.
+func (l *Loop) Watchdog(ctx context.Context, onStall func()) error {
 	for {
 		p := probe{make(chan struct{})}
 		l.Send(ctx, p)
 		select {
 		case <-p.done:
-			l.aliveAt.Store(l.clock.Now().UnixNano())
-		case <-time.After(wedgedFor):
-			wedged()
+			l.probeAnsweredAt.Store(l.clock.Now().UnixNano())
+		case <-time.After(probeTimeout):
+			onStall()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		select {
-		case <-time.After(wedgedFor / 4):
+		case <-time.After(probeTimeout / 4):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// Alive reports whether the control goroutine answered of late.
+// Alive reports whether the control loop answered a probe within the last two probe
+// timeouts.
 func (l *Loop) Alive(now time.Time) bool {
-	return now.UnixNano()-l.aliveAt.Load() < int64(2*wedgedFor)
+	return now.UnixNano()-l.probeAnsweredAt.Load() < int64(2*probeTimeout)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,17 +18,17 @@
 		is := is.New(t)
 		l := New(member.Member{ID: "n#1", Name: "n"}, nil)
 		ctx, cancel := context.WithCancel(context.Background())
-		var wedged atomic.Int64
-		go func() { _ = l.Watchdog(ctx, func() { wedged.Add(1) }) }()
+		var stalls atomic.Int64
+		go func() { _ = l.Watchdog(ctx, func() { stalls.Add(1) }) }()
 		running, stop := context.WithCancel(ctx)
 		go func() { _ = l.Serve(running) }()
 		time.Sleep(20 * time.Second)
 		is.True(l.Alive(time.Now()))
-		is.Equal(wedged.Load(), int64(0))
-		stop() // the goroutine no longer takes events
+		is.Equal(stalls.Load(), int64(0))
+		stop() // the loop no longer processes events
 		time.Sleep(20 * time.Second)
 		is.True(!l.Alive(time.Now()))
-		is.True(wedged.Load() > 0)
+		is.True(stalls.Load() > 0)
 		cancel()
 		synctest.Wait()
 	})
@@ -43,7 +43,7 @@
 		go func() { _ = l.Serve(ctx) }()
 		go func() {
 			_ = l.Effects(ctx, func(e Effect) {
-				time.Sleep(time.Second) // a slow subscriber does not hold up control
+				time.Sleep(time.Second) // a slow subscriber must not block the control loop
 				got <- e
 			})
 		}()
@@ -57,6 +57,6 @@
 		is.Equal((<-got).(MemberChanged).Change.Member.ID, "a#1")
 		is.Equal((<-got).(MemberChanged).Change.Member.ID, "b#1")
 		cancel()
-		time.Sleep(time.Minute) // the subscriber ends the batch it has
+		time.Sleep(time.Minute) // lets the subscriber finish its batch
 	})
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -11,25 +11,26 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Event is something that the control goroutine takes note of.
+// Event is an input of the control loop.
 type Event interface{ event() }
 
-// TableRead brings a table document from the store or a peer.
+// TableRead reports a table document read from the store or a peer.
 type TableRead struct {
 	Stored table.Stored
 	From   string
 }
 
-// ViewRead brings a view from the store or a peer.
+// ViewRead reports a view read from the store or a peer.
 type ViewRead struct{ View *claim.View }
 
-// ListRead brings the platform's instance list.
+// InstanceListRead reports the instance list of the platform. The list may be stale.
 type ListRead struct{ Instances []platform.Instance }
 
-// NoticesRead brings reclaim notices.
+// NoticesRead reports reclaim notices of the platform.
 type NoticesRead struct{ Notices []platform.Notice }
 
-// HeartbeatReceived brings updates of entry instances and what their sender knows.
+// HeartbeatReceived reports a heartbeat: the state of its sender and of members that
+// it knows, the endpoints that started to leave recently, and the usage on the sender.
 type HeartbeatReceived struct {
 	Members []member.Member
 	Leaving []platform.Notice
@@ -37,20 +38,22 @@
 	Usage   []admit.Usage
 }
 
-// Refused says that an endpoint said in an answer that it is leaving.
+// EndpointReportedLeaving reports that an endpoint announced in an answer that it is
+// leaving.
 type Refused struct{ Endpoint *route.Endpoint }
 
-// Leave makes this instance take no new requests. By is zero for a planned stop.
+// Leave makes this instance stop taking new requests. By is the reclaim deadline; it is
+// zero for a planned stop.
 type Leave struct{ By time.Time }
 
-// tick makes time pass.
+// tick triggers periodic work.
 type tick struct{}
 
-// probe asks whether the control goroutine is alive.
+// probe checks that the control loop processes events.
 type probe struct{ done chan struct{} }
 
-// status asks for the members as they are right now.
-type status struct{ reply chan []member.Member }
+// membersRequest asks for the current members.
+type membersRequest struct{ reply chan []member.Member }
 
 func (TableRead) event()         {}
 func (ViewRead) event()          {}
@@ -61,38 +64,39 @@
 func (Leave) event()             {}
 func (tick) event()              {}
 func (probe) event()             {}
-func (status) event()            {}
+func (membersRequest) event()    {}
 
-// Effect is something that the rest of the process has to act on.
+// Effect is an output of the control loop that the rest of the process acts on.
 type Effect interface{ effect() }
 
-// TableInForce says that a revision is decided by from now on.
+// TableActivated reports that a table revision is in use from now on.
 type TableInForce struct{ Revision uint64 }
 
-// ViewInForce says that a view was adopted.
+// ViewActivated reports that a view is in use from now on.
 type ViewInForce struct{ View *claim.View }
 
-// MemberChanged says that an entry instance changed its state.
+// MemberChanged reports a change of the state of an entry instance.
 type MemberChanged struct{ Change member.Change }
 
-// EndpointJoined says that an endpoint takes work.
+// EndpointJoined reports that an endpoint was added to its pool.
 type EndpointJoined struct {
 	Endpoint *route.Endpoint
 	Kind     platform.Kind
 }
 
-// EndpointLeaving says that an endpoint gets no new work. Deadline is when it
-// goes; zero when that is not known.
+// EndpointLeaving reports that an endpoint is leaving and was removed from its pool.
+// Deadline is when it stops; it is zero if that is not known.
 type EndpointLeaving struct {
 	Endpoint *route.Endpoint
 	Kind     platform.Kind
 	Deadline time.Time
 }
 
-// EndpointGone says that an endpoint is no more.
+// EndpointRemoved reports that an endpoint no longer exists.
 type EndpointGone struct{ Endpoint *route.Endpoint }
 
-// SelfLeaving says that this instance has to hand over what it holds.
+// SelfLeaving reports that this instance is leaving and has to hand over its requests.
+// By is the reclaim deadline; it is zero for a planned stop.
 type SelfLeaving struct{ By time.Time }
 
 func (TableInForce) effect()    {}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -10,25 +10,25 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Snapshot is the immutable state that traffic decides by. Its maps are never
-// changed after it is published.
+// Snapshot is the immutable control state that requests are served by. Its maps must
+// not be modified.
 type Snapshot struct {
 	Self     member.Member
-	Table    *table.View // nil until one is known
+	Table    *table.View // nil until a table is known
 	Stored   table.Stored
-	View     *claim.View // nil until one is known
+	View     *claim.View // nil until a view is known
 	Members  []member.Member
 	Models   Pools
 	Services Pools
-	Leaving  bool      // this instance takes no new request
-	LeaveBy  time.Time // when this instance goes; zero unless reclaimed
-	Demand   Demand    // what the other instances were asked for of late
+	Leaving  bool      // this instance takes no new requests
+	LeaveBy  time.Time // reclaim deadline of this instance; zero unless it is being reclaimed
+	Demand   Demand    // recent usage on the other instances
 }
 
-// Pools holds the pool of each model or service by its name.
+// Pools maps the name of a model or service to its pool.
 type Pools map[string]*route.Pool
 
-// Each calls f for each endpoint of all pools.
+// Each calls f for each endpoint of each pool.
 func (p Pools) Each(f func(*route.Endpoint)) {
 	for _, pool := range p {
 		for _, hall := range pool.Halls {
@@ -39,10 +39,10 @@
 	}
 }
 
-// Demand sums the usage of the other instances by account.
+// Demand is the usage on the other instances, summed by client account.
 type Demand map[string]admit.Usage
 
-// Member returns the entry instance with this ID, this one included.
+// Member returns the entry instance with this ID, which may be this instance.
 func (s *Snapshot) Member(id string) (member.Member, bool) {
 	if id == s.Self.ID {
 		return s.Self, true
@@ -55,7 +55,8 @@
 	return member.Member{}, false
 }
 
-// Halls returns the number of halls that have a usable entry instance.
+// Halls returns the number of halls with a usable entry instance, including the hall of
+// this instance.
 func (s *Snapshot) Halls() int {
 	seen := map[string]bool{s.Self.Hall: true}
 	for _, m := range s.Members {
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -13,73 +13,76 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// incarnation names one life of an endpoint.
+// incarnation identifies an endpoint that was started under an ID; after a restart it is
+// another incarnation with a higher number.
 type incarnation struct {
 	id  string
 	num uint64
 }
 
-type leaving struct {
-	deadline time.Time
-	at       time.Time
+// leavingRecord records that an incarnation is leaving.
+type leavingRecord struct {
+	deadline time.Time // when it stops; zero if not known
+	since    time.Time // when this instance learned of it
 }
 
-type known struct {
-	endpoint *route.Endpoint
-	kind     platform.Kind
-	unlisted int // reads of the list in a row that lacked it
+// knownEndpoint is an endpoint that the platform lists.
+type knownEndpoint struct {
+	endpoint    *route.Endpoint
+	kind        platform.Kind
+	missedReads int // consecutive reads of the list that did not contain it
 }
 
-// prefixBytes bounds the memory of prefix knowledge over all endpoints, at
-// about 64 bytes for a block in a map of two generations.
+// The prefix indexes of all endpoints together take at most about prefixIndexBytes of
+// memory, as long as no index is at its minimum of minBlocks. blockBytes is the
+// approximate size of a block in an index, which consists of two generations of maps.
 const (
-	prefixBytes = 12 << 20
-	blockBytes  = 64
-	blocksMost  = 4096
-	blocksLeast = 64
+	prefixIndexBytes = 12 << 20
+	blockBytes       = 64
+	maxBlocks        = 4096
+	minBlocks        = 64
 )
 
-// unlistedMost is how many reads of the list in a row must lack an endpoint
-// before it is taken for gone.
-const unlistedMost = 3
+// maxMissedReads is the number of consecutive reads of the list without an endpoint
+// after which it is considered removed.
+const maxMissedReads = 3
 
-// leavingMemory is how long a leaving incarnation is remembered after its
-// deadline, so that a lagging list does not revive it.
-const leavingMemory = 10 * time.Minute
+// leavingRetention is how long a leaving incarnation is remembered after its deadline,
+// so that a stale list does not add it again.
+const leavingRetention = 10 * time.Minute
 
-// State is the control state. It has no I/O and no clock of its own: Apply
-// takes an event and the time, changes the state, and returns the effects.
-// It belongs to one goroutine.
+// State is the control state. It performs no I/O and reads no clock: Apply processes an
+// event at a given time and returns the effects. State is not safe for concurrent use.
 type State struct {
 	snap      Snapshot
 	members   *member.List
-	endpoints map[string]*known        // by ID
-	leaving   map[incarnation]*leaving // sticky for the incarnation
-	usage     map[string][]admit.Usage // by entry instance
-	dirty     bool
-	effects   []Effect
+	endpoints map[string]*knownEndpoint      // by ID
+	leaving   map[incarnation]*leavingRecord // kept for leavingRetention, so that a stale list does not add the incarnation again
+	usage     map[string][]admit.Usage       // by entry instance
+	dirty     bool                           // snap has changed since the last call to Snapshot
+	effects   []Effect                       // effects of the current event
 }
 
-// NewState returns the state of an instance that knows nothing yet.
+// NewState returns the initial state of an instance.
 func NewState(self member.Member) *State {
 	return &State{
 		snap:      Snapshot{Self: self, Models: Pools{}, Services: Pools{}, Demand: Demand{}},
 		members:   member.NewList(self),
-		endpoints: make(map[string]*known),
-		leaving:   make(map[incarnation]*leaving),
+		endpoints: make(map[string]*knownEndpoint),
+		leaving:   make(map[incarnation]*leavingRecord),
 		usage:     make(map[string][]admit.Usage),
 	}
 }
 
-// Snapshot returns the state for publishing and whether it changed since it
-// was last asked for.
+// Snapshot returns the state to publish, and reports whether it has changed since the
+// last call.
 func (s *State) Snapshot() (Snapshot, bool) {
 	changed := s.dirty
 	s.dirty = false
 	return s.snap, changed
 }
 
-// Apply takes an event.
+// Apply processes an event and returns its effects.
 func (s *State) Apply(e Event, now time.Time) []Effect {
 	s.effects = nil
 	switch e := e.(type) {
@@ -90,13 +93,13 @@
 	case ListRead:
 		s.listRead(e, now)
 	case NoticesRead:
-		s.notices(e.Notices, now)
+		s.noticesRead(e.Notices, now)
 	case HeartbeatReceived:
 		s.applyHeartbeat(e, now)
 	case Refused:
-		s.leave(e.Endpoint.ID, e.Endpoint.Incarnation, time.Time{}, now)
+		s.markLeaving(e.Endpoint.ID, e.Endpoint.Incarnation, time.Time{}, now)
 	case Leave:
-		s.leaveSelf(e)
+		s.markSelfLeaving(e)
 	case tick:
 		s.tick(now)
 	}
@@ -105,8 +108,8 @@
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// tableRead moves to a higher revision and never to a lower one, whoever
-// offers it.
+// tableRead activates a table with a higher revision than the current one, whatever its
+// source.
 func (s *State) tableRead(e TableRead) {
 	if s.snap.Table != nil && e.Stored.Doc.Revision <= s.snap.Table.Revision {
 		return
@@ -118,6 +121,7 @@
 	s.emit(TableInForce{Revision: e.Stored.Doc.Revision})
 }
 
+// viewRead activates a view with a higher epoch than the current one.
 func (s *State) viewRead(e ViewRead) {
 	if s.snap.View != nil && e.View.Epoch <= s.snap.View.Epoch {
 		return
@@ -128,7 +132,9 @@
 	s.emit(ViewInForce(e))
 }
 
-func (s *State) leaveSelf(e Leave) {
+// markSelfLeaving marks this instance as leaving. A reclaim notice takes effect even after
+// a planned stop has begun, because it sets the deadline.
+func (s *State) markSelfLeaving(e Leave) {
 	if s.snap.Leaving && (e.By.IsZero() || !s.snap.LeaveBy.IsZero()) {
 		return
 	}
@@ -138,6 +144,7 @@
 	s.emit(SelfLeaving(e))
 }
 
+// applyHeartbeat merges the members, leaving endpoints and usage of a heartbeat.
 func (s *State) applyHeartbeat(e HeartbeatReceived, now time.Time) {
 	s.members.SetSelf(s.snap.Self)
 	for _, m := range e.Members {
@@ -146,13 +153,15 @@
 		}
 	}
 	for _, n := range e.Leaving {
-		s.leave(n.ID, n.Incarnation, n.Deadline, now)
+		s.markLeaving(n.ID, n.Incarnation, n.Deadline, now)
 	}
 	if e.From != "" && e.Usage != nil {
 		s.usage[e.From] = e.Usage
 	}
 }
 
+// memberChanged publishes a change of a member. The usage on a dead member no longer
+// counts.
 func (s *State) memberChanged(c member.Change) {
 	s.snap.Members = s.members.Members()
 	s.dirty = true
@@ -162,18 +171,21 @@
 	s.emit(MemberChanged{c})
 }
 
+// tick updates the states of the members, deletes old records of leaving incarnations, and
+// sums the demand.
 func (s *State) tick(now time.Time) {
 	for _, c := range s.members.Tick(now) {
 		s.memberChanged(c)
 	}
 	for inc, l := range s.leaving {
-		if now.Sub(l.at) > leavingMemory && now.Sub(l.deadline) > leavingMemory {
+		if now.Sub(l.since) > leavingRetention && now.Sub(l.deadline) > leavingRetention {
 			delete(s.leaving, inc)
 		}
 	}
 	s.sumDemand()
 }
 
+// sumDemand publishes the summed usage on the other instances.
 func (s *State) sumDemand() {
 	if len(s.usage) == 0 && len(s.snap.Demand) == 0 {
 		return
@@ -193,52 +205,57 @@
 	s.dirty = true
 }
 
+// listRead adds, removes and marks endpoints according to the instance list. Entry
+// instances are skipped: their membership is derived from heartbeats.
 func (s *State) listRead(e ListRead, now time.Time) {
 	seen := make(map[string]bool, len(e.Instances))
 	for _, i := range e.Instances {
 		seen[i.ID] = true
 		if i.Kind == platform.KindEntry {
-			continue // membership of entry instances comes from heartbeats
+			continue
 		}
 		if i.State == platform.StateLeaving {
-			s.leave(i.ID, i.Incarnation, i.Deadline, now)
+			s.markLeaving(i.ID, i.Incarnation, i.Deadline, now)
 			continue
 		}
 		s.join(i, now)
 	}
 	for id, k := range s.endpoints {
 		if seen[id] {
-			k.unlisted = 0
+			k.missedReads = 0
 			continue
 		}
-		if k.unlisted++; k.unlisted >= unlistedMost {
-			s.gone(id)
+		if k.missedReads++; k.missedReads >= maxMissedReads {
+			s.remove(id)
 		}
 	}
 }
 
+// join adds an endpoint to its pool, unless this incarnation is leaving or the same or a
+// newer one is known.
 func (s *State) join(i platform.Instance, now time.Time) {
 	if _, out := s.leaving[incarnation{i.ID, i.Incarnation}]; out {
-		return // the list lags
+		return // the list is stale
 	}
 	old, ok := s.endpoints[i.ID]
 	if ok && old.endpoint.Incarnation >= i.Incarnation {
 		return
 	}
 	if ok {
-		s.gone(i.ID)
+		s.remove(i.ID)
 	}
 	blocks := 0
 	if i.Kind == platform.KindModel {
-		blocks = min(blocksMost, max(blocksLeast, prefixBytes/blockBytes/(len(s.endpoints)+1)))
+		blocks = min(maxBlocks, max(minBlocks, prefixIndexBytes/blockBytes/(len(s.endpoints)+1)))
 	}
 	e := route.NewEndpoint(i.ID, i.Incarnation, i.Addr, i.Hall, i.Serves, blocks, now)
-	s.endpoints[i.ID] = &known{endpoint: e, kind: i.Kind}
+	s.endpoints[i.ID] = &knownEndpoint{endpoint: e, kind: i.Kind}
 	s.setPool(i.Kind, i.Serves, func(p *route.Pool) *route.Pool { return p.With(e) })
 	s.emit(EndpointJoined{e, i.Kind})
 }
 
-// setPool publishes a changed pool. Only the small map of pools is copied.
+// setPool replaces a pool by a changed copy. Of the other pools only the references are
+// copied.
 func (s *State) setPool(kind platform.Kind, name string, change func(*route.Pool) *route.Pool) {
 	pools := &s.snap.Models
 	if kind == platform.KindService {
@@ -254,18 +271,20 @@
 	s.dirty = true
 }
 
-func (s *State) notices(notices []platform.Notice, now time.Time) {
+// noticesRead marks the instances that are being reclaimed as leaving.
+func (s *State) noticesRead(notices []platform.Notice, now time.Time) {
 	for _, n := range notices {
 		if n.ID == s.snap.Self.Name {
-			s.leaveSelf(Leave{By: n.Deadline})
+			s.markSelfLeaving(Leave{By: n.Deadline})
 			continue
 		}
-		s.leave(n.ID, n.Incarnation, n.Deadline, now)
+		s.markLeaving(n.ID, n.Incarnation, n.Deadline, now)
 	}
 }
 
-// leave takes an incarnation out of its pool for good.
-func (s *State) leave(id string, num uint64, deadline, now time.Time) {
+// markLeaving permanently removes an incarnation from its pool. An incarnation that is not
+// known yet is recorded if the deadline is known, so that a later list does not add it.
+func (s *State) markLeaving(id string, num uint64, deadline, now time.Time) {
 	inc := incarnation{id, num}
 	if _, out := s.leaving[inc]; out {
 		return
@@ -274,7 +293,7 @@
 	if !ok && deadline.IsZero() {
 		return
 	}
-	s.leaving[inc] = &leaving{deadline: deadline, at: now}
+	s.leaving[inc] = &leavingRecord{deadline: deadline, since: now}
 	if !ok || k.endpoint.Incarnation != num {
 		return
 	}
@@ -282,21 +301,23 @@
 	s.emit(EndpointLeaving{Endpoint: k.endpoint, Kind: k.kind, Deadline: deadline})
 }
 
-func (s *State) gone(id string) {
+// remove removes an endpoint that no longer exists.
+func (s *State) remove(id string) {
 	k := s.endpoints[id]
 	delete(s.endpoints, id)
 	s.setPool(k.kind, k.endpoint.Model, func(p *route.Pool) *route.Pool { return p.Without(id) })
 	s.emit(EndpointGone{Endpoint: k.endpoint})
 }
 
-// recentAge is how long a leaving endpoint is told to peers.
-const recentAge = 15 * time.Second
+// leavingAnnouncePeriod is how long peers are notified that an endpoint is leaving.
+const leavingAnnouncePeriod = 15 * time.Second
 
-// recentLeaving returns the endpoints that began to leave of late.
+// recentLeaving returns the endpoints that started to leave within
+// leavingAnnouncePeriod, sorted by ID.
 func (s *State) recentLeaving(now time.Time) []platform.Notice {
 	var out []platform.Notice
 	for inc, l := range s.leaving {
-		if now.Sub(l.at) < recentAge {
+		if now.Sub(l.since) < leavingAnnouncePeriod {
 			out = append(out, platform.Notice{ID: inc.id, Incarnation: inc.num, Deadline: l.deadline})
 		}
 	}
@@ -309,7 +330,8 @@
 	return out
 }
 
-// Seeds returns where entry instances may be found, from the list.
+// Seeds returns the addresses of the other entry instances in the list that are not
+// leaving, to send the first heartbeats to.
 func Seeds(list []platform.Instance, self string) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, i := range list {
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -28,10 +28,10 @@
 	effects := s.Apply(NoticesRead{[]platform.Notice{{ID: "e", Incarnation: 1, Deadline: t0.Add(time.Minute)}}}, t0)
 	is.Equal(len(effects), 1)
 	is.Equal(s.snap.Models["m"].Size, 0)
-	s.Apply(list, t0.Add(10*time.Second)) // the list lags and still shows it live
+	s.Apply(list, t0.Add(10*time.Second)) // the list is stale and still contains it as live
 	is.Equal(s.snap.Models["m"].Size, 0)
 	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 2)}}, t0.Add(20*time.Second))
-	is.Equal(s.snap.Models["m"].Size, 1) // another life under the same name
+	is.Equal(s.snap.Models["m"].Size, 1) // a new incarnation with the same ID
 }
 
 func TestAnUpdateOfAnUnknownEndpointIsKept(t *testing.T) {
@@ -46,7 +46,7 @@
 	is := is.New(t)
 	s := NewState(member.Member{ID: "n#1", Name: "n"})
 	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 1)}}, t0)
-	for range unlistedMost - 1 {
+	for range maxMissedReads - 1 {
 		is.Equal(len(s.Apply(ListRead{}, t0)), 0)
 	}
 	is.Equal(len(s.Apply(ListRead{}, t0)), 1)
