--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,8 +1,8 @@
-// Package drain plans what becomes of the streams on a model engine that is
-// leaving: each finishes in time, takes its KV cache to another engine, or
-// goes on elsewhere by recomputing.
+// Package drain plans how the streams on a leaving model engine are completed: a stream
+// finishes before the engine stops, continues on another engine that imports its KV
+// cache, or continues on another engine that recomputes its tokens.
 //
-// The package is pure.
+// The package performs no I/O and reads no clock.
 package drain
 
 import (
@@ -11,78 +11,79 @@
 	"time"
 )
 
-// Stream is a stream on the engine that leaves.
+// Stream is a stream on the leaving engine.
 type Stream struct {
 	ID        string
-	Remaining int // tokens still to be generated, at the most
+	Remaining int // upper bound of the tokens still to be generated
 	KVTokens  int // tokens in its KV cache
 }
 
-// Way is what becomes of a stream.
-type Way int
+// Strategy is how a stream is completed.
+type Strategy int
 
-// The ways.
+// Strategies for a stream.
 const (
-	Finish    Way = iota // stays and ends before the engine goes
-	Move                 // its KV cache is imported by another engine
-	Recompute            // another engine computes its tokens again
+	Finish    Strategy = iota // the stream stays and ends before the engine stops
+	Move                      // another engine imports its KV cache
+	Recompute                 // another engine recomputes its tokens
 )
 
 // Action is the plan for one stream.
 type Action struct {
 	ID  string
-	Way Way
-	At  time.Time // when to begin
+	Way Strategy
+	At  time.Time
 }
 
-// Limits is what bounds a plan.
+// Limits holds the constraints of a plan.
 type Limits struct {
-	Deadline time.Time     // when the engine goes; zero when not known
-	Step     time.Duration // time between two tokens
-	KVRate   float64       // tokens of KV cache this instance can move per second
-	MoveKV   bool
+	Deadline time.Time     // when the engine stops; zero if not known
+	Step     time.Duration // time between two tokens of a stream
+	KVRate   float64       // KV cache tokens that this instance can move per second
+	MoveKV   bool          // whether KV caches may be moved
 }
 
+// Parameters of a plan.
 const (
-	margin       = 300 * time.Millisecond // kept free before the deadline
-	finishFactor = 1.3                    // by how much finishing may take longer than expected
-	unknownLeft  = 10 * time.Second       // assumed notice when the deadline is not known
+	deadlineMargin   = 300 * time.Millisecond // left unused before the deadline
+	finishTimeFactor = 1.3                    // allowance for streams that take longer than estimated
+	assumedNotice    = 10 * time.Second       // time to the deadline if it is not known
 )
 
-// Plan decides for each stream. Streams that will end in time stay. Of the
-// others the largest caches move first, for they are the dearest to recompute
-// and each token costs the same to move; what does not fit into the time left
-// is recomputed, spread over the notice so that the receivers are not all
-// asked at once.
+// Plan returns an action for each stream. If the deadline is known, streams that will end
+// before it stay. The caches of the others are moved one after the other, the largest
+// first: moving costs the same per token, and large caches are the most expensive to
+// recompute. Streams whose caches cannot be moved in the time left are recomputed,
+// spread evenly over that time so that they do not all reach the other engines at once.
 func Plan(streams []Stream, l Limits, now time.Time) []Action {
 	deadline := l.Deadline
 	if deadline.IsZero() {
-		deadline = now.Add(unknownLeft)
+		deadline = now.Add(assumedNotice)
 	}
-	left := deadline.Sub(now) - margin
+	left := deadline.Sub(now) - deadlineMargin
 	streams = slices.Clone(streams)
 	slices.SortFunc(streams, func(a, b Stream) int {
 		return cmp.Or(cmp.Compare(b.KVTokens, a.KVTokens), cmp.Compare(a.ID, b.ID))
 	})
 	var actions []Action
-	var rest []Stream
-	begin := time.Duration(0)
+	var recompute []Stream
+	moveStart := time.Duration(0)
 	for _, s := range streams {
-		need := time.Duration(float64(s.Remaining) * float64(l.Step) * finishFactor)
-		if need < left && !l.Deadline.IsZero() {
+		finishTime := time.Duration(float64(s.Remaining) * float64(l.Step) * finishTimeFactor)
+		if finishTime < left && !l.Deadline.IsZero() {
 			actions = append(actions, Action{s.ID, Finish, now})
 			continue
 		}
-		takes := time.Duration(float64(s.KVTokens) / max(l.KVRate, 1) * float64(time.Second))
-		if !l.MoveKV || begin+takes > left {
-			rest = append(rest, s)
+		moveTime := time.Duration(float64(s.KVTokens) / max(l.KVRate, 1) * float64(time.Second))
+		if !l.MoveKV || moveStart+moveTime > left {
+			recompute = append(recompute, s)
 			continue
 		}
-		actions = append(actions, Action{s.ID, Move, now.Add(begin)})
-		begin += takes
+		actions = append(actions, Action{s.ID, Move, now.Add(moveStart)})
+		moveStart += moveTime
 	}
-	for i, s := range rest {
-		at := now.Add(max(0, left) * time.Duration(i) / time.Duration(len(rest)))
+	for i, s := range recompute {
+		at := now.Add(max(0, left) * time.Duration(i) / time.Duration(len(recompute)))
 		actions = append(actions, Action{s.ID, Recompute, at})
 	}
 	return actions
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -34,7 +34,7 @@
 			}
 			seen[a.ID] = a
 			if a.At.Before(t0) || (a.At.After(l.Deadline) && a.Way != Finish) {
-				t.Fatalf("stream %s begins outside the notice", a.ID)
+				t.Fatalf("stream %s starts outside the notice period", a.ID)
 			}
 			if a.Way == Move {
 				moving += kv[a.ID]
@@ -44,10 +44,10 @@
 			t.Fatalf("%d of %d streams planned", len(seen), len(streams))
 		}
 		if !l.MoveKV && moving > 0 {
-			t.Fatal("moved although moves are off")
+			t.Fatal("plan moves KV caches although MoveKV is false")
 		}
 		if left := l.Deadline.Sub(t0).Seconds(); float64(moving) > left*l.KVRate {
-			t.Fatalf("%d tokens do not fit into %v s", moving, left)
+			t.Fatalf("%d KV cache tokens cannot be moved in %v s", moving, left)
 		}
 	})
 }
@@ -56,12 +56,12 @@
 	is := is.New(t)
 	l := Limits{Deadline: t0.Add(5 * time.Second), Step: 10 * time.Millisecond, KVRate: 10_000, MoveKV: true}
 	plan := Plan([]Stream{{"short", 20, 30_000}, {"small", 1000, 5_000}, {"large", 1000, 40_000}, {"largest", 1000, 45_000}}, l, t0)
-	way := make(map[string]Way)
+	strategy := make(map[string]Strategy)
 	for _, a := range plan {
-		way[a.ID] = a.Way
+		strategy[a.ID] = a.Way
 	}
-	is.Equal(way["short"], Finish)
-	is.Equal(way["largest"], Move)
-	is.Equal(way["large"], Recompute) // does not fit after the largest
-	is.Equal(way["small"], Recompute) // 0.2 s are left, it needs 0.5 s
+	is.Equal(strategy["short"], Finish)
+	is.Equal(strategy["largest"], Move)
+	is.Equal(strategy["large"], Recompute) // no time left after moving the largest
+	is.Equal(strategy["small"], Recompute) // 0.2 s are left, moving it takes 0.5 s
 }
