--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -92,8 +92,9 @@
 // Close ends the stream; the engine cancels what is left of it.
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Look returns why an endpoint cannot be reached, or nil if it answers, whatever it says.
-func (c *Client) Look(ctx context.Context, addr netip.AddrPort) error {
+// Probe returns nil if an endpoint answers an HTTP request, whatever its status, or else why it
+// cannot be reached.
+func (c *Client) Probe(ctx context.Context, addr netip.AddrPort) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodHead, "http://"+addr.String()+"/", nil)
 	if err != nil {
 		return fault.New(fault.StepDispatch, addr.String(), fault.KindInternal, fault.NotRun, "look: %w", err)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -320,7 +320,7 @@
 
 // act carries out the effects of control.
 func (i *Instance) act(e control.Effect) {
-	i.relay.Act(e)
+	i.relay.ApplyEffect(e)
 	switch e := e.(type) {
 	case control.TableInForce:
 		i.event(event.TableInForce, zap.Uint64("revision", e.Revision))
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -20,24 +20,26 @@
 )
 
 const (
-	kvRateTotal  = 50_000.0 // tokens of KV cache an engine is taken to export per second
-	moveTimeout  = 20 * time.Second
-	idleMargin   = 200 * time.Millisecond // kept free before the engine goes
-	leaveNoticed = 50 * time.Millisecond  // for requests that were just being sent
+	kvExportRate    = 50_000.0 // assumed KV cache export rate of an engine in tokens per second, shared by all entry instances
+	moveTimeout     = 20 * time.Second
+	idleMoveMargin  = 200 * time.Millisecond // moves of idle caches end this long before the engine's deadline
+	sendGracePeriod = 50 * time.Millisecond  // lets requests that are being sent to the engine start there, so that the plan includes them
 )
 
-// drainEndpoint carries out the plan for the streams on an engine that leaves.
+// drainEndpoint moves the streams that this instance runs on a leaving model engine to other
+// engines, as drain.Plan decides, and then the idle KV caches. Other kinds of endpoints have no
+// streams to move.
 func (r *Relay) drainEndpoint(e control.EndpointLeaving) {
 	r.event(event.EndpointLeaving, zap.String("endpoint", e.Endpoint.ID), zap.Time("deadline", e.Deadline))
 	if e.Kind != platform.KindModel {
 		return
 	}
 	select {
-	case <-time.After(leaveNoticed):
+	case <-time.After(sendGracePeriod):
 	case <-r.ctx.Done():
 		return
 	}
-	s := r.snap()
+	s := r.snapshot()
 	runs := make(map[string]*run)
 	var streams []drain.Stream
 	for _, a := range r.running(func(a *run) bool { return a.endpoint == e.Endpoint }) {
@@ -47,25 +49,26 @@
 	}
 	limits := drain.Limits{
 		Deadline: e.Deadline, Step: e.Endpoint.Load().Step, MoveKV: s.Table.System.MoveKV,
-		KVRate: kvRateTotal / float64(1+len(s.Members)),
+		KVRate: kvExportRate / float64(1+len(s.Members)),
 	}
-	moves := make(chan struct{}, 1) // one export at a time: they share the engine's link
+	moves := make(chan struct{}, 1) // one export at a time, since all share the engine's network link
 	for _, act := range drain.Plan(streams, limits, r.Clock.Now()) {
 		if act.Way == drain.Finish {
 			continue
 		}
-		r.wait.Go(func() { r.leaveEngine(runs[act.ID], e, act, moves) })
+		r.wait.Go(func() { r.moveStream(runs[act.ID], e, act, moves) })
 	}
 	if limits.MoveKV {
 		r.moveIdle(e, moves)
 	}
 }
 
-// idleMost bounds how many idle caches one instance moves from one engine.
-const idleMost = 500
+// maxIdleMoves limits the idle caches that this instance moves from one leaving engine.
+const maxIdleMoves = 500
 
-// idleCaches returns the last record here of each conversation whose cache is
-// on an engine, the newest first.
+// idleCaches returns, for each session whose KV cache is on the engine, its finished record
+// with the longest prompt, newest first, at most maxIdleMoves of them. Prompts shorter than a cache
+// block are left out.
 func (r *Relay) idleCaches(e *route.Endpoint) []*record.Record {
 	last := make(map[string]*record.Record)
 	done := r.store.All(func(rec *record.Record) bool {
@@ -77,14 +80,15 @@
 		}
 	}
 	out := slices.SortedFunc(maps.Values(last), func(a, b *record.Record) int { return b.Arrived.Compare(a.Arrived) })
-	return out[:min(len(out), idleMost)]
+	return out[:min(len(out), maxIdleMoves)]
 }
 
-// moveIdle moves the caches of conversations that are between two turns to the
-// homes that these have once the engine is gone, where every entry instance
-// will look for them. What runs goes first: it has the slot before.
+// moveIdle moves the KV caches of sessions without a running request to the engines that routing
+// prefers for these sessions (their homes) once the leaving engine is gone. Every entry instance
+// computes the same homes, so the next turn of a session finds its cache. Caches of running
+// streams usually move first, since drainEndpoint starts their moves first.
 func (r *Relay) moveIdle(e control.EndpointLeaving, moves chan struct{}) {
-	limit := e.Deadline.Add(-idleMargin)
+	limit := e.Deadline.Add(-idleMoveMargin)
 	if e.Deadline.IsZero() {
 		limit = r.Clock.Now().Add(moveTimeout)
 	}
@@ -101,7 +105,7 @@
 		}
 		chain := prefix.Chain(class.Model, string(rec.Body))
 		if home[0].AskedForRest(r.Clock.Now()) || home[0].Blocks.Held(chain) == len(chain) {
-			continue // it wants no calls, or another instance moved a later turn of it
+			continue // it asked for a pause, or another instance moved the cache of a later turn
 		}
 		moves <- struct{}{}
 		x, err := r.Endpoints.Import(ctx, home[0].Addr, endpoint.Import{Request: rec.ID, From: e.Endpoint.Addr}, r.Observer(home[0]))
@@ -112,8 +116,9 @@
 	}
 }
 
-// leaveEngine takes one stream away from an engine.
-func (r *Relay) leaveEngine(a *run, e control.EndpointLeaving, act drain.Action, moves chan struct{}) {
+// moveStream moves one stream off a leaving engine at the planned time. A stream whose KV cache
+// cannot be moved is recomputed at another engine.
+func (r *Relay) moveStream(a *run, e control.EndpointLeaving, act drain.Action, moves chan struct{}) {
 	select {
 	case <-time.After(r.Clock.Until(act.At)):
 	case <-r.ctx.Done():
@@ -130,8 +135,9 @@
 	r.switchRun(a, e.Endpoint, nil, "recompute")
 }
 
-// moveKV has another engine import the stream's cache and switches over. While
-// the cache is on its way the stream goes on where it is.
+// moveKV lets another engine import the stream's KV cache and then switches the stream over. The
+// stream continues on the leaving engine during the transfer. It returns false if the stream has
+// to be recomputed instead.
 func (r *Relay) moveKV(a *run, e control.EndpointLeaving) bool {
 	rec := a.rec
 	class, pool, err := r.modelPool(rec)
@@ -139,14 +145,14 @@
 		return rec.Done()
 	}
 	req := r.routeRequest(rec, class)
-	req.Prefer, req.Recompute, req.Session = "", 0, r.draw() // spread the receivers
-	d, ok := r.routing(route.PolicyDefault).Choose(pool, req, r.Clock.Now())
+	req.Prefer, req.Recompute, req.Session = "", 0, r.random() // a random session spreads the streams over the other engines
+	d, ok := r.routingPolicy(route.PolicyDefault).Choose(pool, req, r.Clock.Now())
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, moveTimeout)
 	defer cancel()
-	d.Endpoint.Begin(0) // counts towards its load while the cache is on its way
+	d.Endpoint.Begin(0) // counts as load of the target during the transfer
 	defer d.Endpoint.End()
 	x, err := r.Endpoints.Import(ctx, d.Endpoint.Addr, endpoint.Import{Request: rec.ID, From: e.Endpoint.Addr}, r.Observer(d.Endpoint))
 	if err != nil {
@@ -159,8 +165,9 @@
 	return true
 }
 
-// switchRun makes a stream go on at another engine, chosen by the policy when
-// to is nil.
+// switchRun cancels the run of a stream at one engine, so that it resumes at another: to, or one
+// that the routing policy chooses if to is nil. It does nothing if the run has left the engine or
+// has ended. cause labels the resume in the metrics.
 func (r *Relay) switchRun(a *run, from, to *route.Endpoint, cause string) {
 	r.runMu.Lock()
 	defer r.runMu.Unlock()
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -18,29 +18,29 @@
 	"github.com/shelfcrank/shelfcrank/internal/record"
 )
 
-// Chunk is a part of an answer on its way to a caller.
+// Chunk is a part of an answer that Follow delivers.
 type Chunk struct {
-	Head   *record.Record // the request, without its body when it is kept elsewhere
+	Head   *record.Record // the request; without its body if the record is on another instance
 	Tokens []string
-	Result *record.Result // set with the last chunk
+	Result *record.Result // set in the last chunk only
 }
 
 const (
-	followPause = 100 * time.Millisecond
-	lostAfter   = 5 * time.Second  // how long a record may be nowhere before it is given up
-	unsureAfter = 12 * time.Second // how long its owner may stay silent
+	followRetryInterval = 100 * time.Millisecond
+	recordLostTimeout   = 5 * time.Second  // time without a record on any instance after which it is reported as lost
+	holderSilentTimeout = 12 * time.Second // time without an answer of an instance that may hold the record after which Follow fails
 )
 
-// Follow hands the answer of a request, from a position on, to each, in order
-// and once, wherever the request runs and however often it moves. It returns
-// nil after the last chunk.
+// Follow calls each with the chunks of a request's answer, starting at token position from. Each
+// token is delivered once and in order, whichever instance runs the request and even if it moves
+// between instances meanwhile. Follow returns nil after the last chunk.
 func (r *Relay) Follow(ctx context.Context, id string, from int, each func(Chunk) error) error {
 	pos := from
 	var missingSince time.Time
-	movedAt := r.Clock.Now() // when the answer last made progress, or its owner was reached
+	progressAt := r.Clock.Now() // last time the answer made progress or its owner was reached
 	deliver := func(c Chunk) error {
 		pos += len(c.Tokens)
-		movedAt = r.Clock.Now()
+		progressAt = r.Clock.Now()
 		return each(c)
 	}
 	for {
@@ -49,64 +49,66 @@
 			return errors.Join(err, ctx.Err())
 		}
 		switch {
-		case err == errNowhere && missingSince.IsZero() && from == 0 && pos == 0 && !r.wasHere(id):
+		case err == errNoRecord && missingSince.IsZero() && from == 0 && pos == 0 && !r.hasRecord(id):
 			return fault.New(fault.StepResume, "", fault.KindNotFound, fault.MayHaveRun, "no such request")
-		case (err == errNowhere || err == errGone) && missingSince.IsZero():
+		case (err == errNoRecord || err == errRecordGone) && missingSince.IsZero():
 			missingSince = r.Clock.Now()
-		case (err == errNowhere || err == errGone) && r.Clock.Since(missingSince) > lostAfter:
+		case (err == errNoRecord || err == errRecordGone) && r.Clock.Since(missingSince) > recordLostTimeout:
 			r.event(event.RecordLost, zap.String("request", id))
 			return fault.New(fault.StepResume, "", fault.KindNotFound, fault.MayHaveRun, "no entry instance holds the request")
-		case err == errUnsure && r.Clock.Since(movedAt) > unsureAfter:
+		case err == errHolderSilent && r.Clock.Since(progressAt) > holderSilentTimeout:
 			return fault.New(fault.StepResume, "", fault.KindTimeout, fault.MayHaveRun, "the instance that holds the request does not answer").Retry(r.Clock.Now().Add(retryAfter))
 		case err == nil:
-			movedAt, missingSince = r.Clock.Now(), time.Time{}
-		case err != errNowhere && err != errGone:
+			progressAt, missingSince = r.Clock.Now(), time.Time{}
+		case err != errNoRecord && err != errRecordGone:
 			missingSince = time.Time{}
 		}
 		select {
-		case <-time.After(followPause):
+		case <-time.After(followRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// errNowhere says that no instance that answered holds the record.
-var errNowhere = errors.New("no instance holds the record")
+// errNoRecord means that no instance holds the record, and all that were asked answered.
+var errNoRecord = errors.New("no instance holds the record")
 
-// errGone says that the record was claimed here and is no longer here: the
-// claim is on its way to be released, or another attempt has won meanwhile.
-var errGone = errors.New("the record was here and is no longer")
+// errRecordGone means that a claim names this instance as the owner but the record is not in its store:
+// the claim is about to be released, or another attempt has won it meanwhile.
+var errRecordGone = errors.New("the record was here and is no longer")
 
-// errUnsure says that an instance which may hold the record did not answer.
-var errUnsure = errors.New("an instance that may hold the record did not answer")
+// errHolderSilent means that an instance that may hold the record did not answer, or that its address is
+// not known here.
+var errHolderSilent = errors.New("an instance that may hold the record did not answer")
 
-func (r *Relay) wasHere(id string) bool {
+func (r *Relay) hasRecord(id string) bool {
 	_, ok := r.store.Get(id)
 	return ok
 }
 
-// followOnce follows at the place where the record is now. done is true when
-// the answer ended or the caller's side failed.
+// followOnce locates the record and follows it there until the answer ends or the record moves.
+// done is true when the answer ended or the error is final; otherwise Follow tries again. pos is
+// the position of the next token; deliver advances it.
 func (r *Relay) followOnce(ctx context.Context, id string, pos *int, deliver func(Chunk) error) (done bool, err error) {
 	if rec, ok := r.store.Get(id); ok && (rec.Owner() == r.Self || rec.Done()) {
 		return r.followLocal(ctx, rec, pos, deliver)
 	}
 	where, ok := r.locate(ctx, id)
 	if !ok {
-		if where.unsure {
-			return false, errUnsure
+		if where.incomplete {
+			return false, errHolderSilent
 		}
-		return false, errNowhere
+		return false, errNoRecord
 	}
-	m, known := r.snap().Member(where.owner)
-	if where.voted && !where.done && (!known || m.State == member.Dead) {
+	m, known := r.snapshot().Member(where.owner)
+	if where.claimed && !where.done && (!known || m.State == member.Dead) {
 		return true, fault.New(fault.StepResume, where.owner, fault.KindBroken, fault.MayHaveRun, "the instance that made the call is gone; the call may have run")
 	}
 	if where.owner == r.Self {
-		return false, errGone
+		return false, errRecordGone
 	}
 	if !known {
-		return false, errUnsure
+		return false, errHolderSilent
 	}
 	return r.followRemote(ctx, id, m, pos, deliver)
 }
@@ -122,19 +124,19 @@
 		if p.Result != nil {
 			rec.MarkFetched()
 			if rec.Repeatable && p.Owner == r.Self {
-				r.markUpdated(rec) // the second copy may go too
+				r.markUpdated(rec) // the holder may drop the second copy
 			}
 			return true, nil
 		}
 		if p.Owner != r.Self {
-			return false, nil // it has moved
+			return false, nil // the record has moved to another instance
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return true, ctx.Err()
 		case <-r.ctx.Done():
-			return true, fault.New(fault.StepStream, "", fault.KindBroken, fault.MayHaveRun, "this instance stops; resume at another")
+			return true, fault.New(fault.StepStream, "", fault.KindBroken, fault.MayHaveRun, "this instance is stopping; resume at another one")
 		}
 	}
 }
@@ -164,30 +166,31 @@
 	return done, err
 }
 
-// place is where a record was found.
-type place struct {
-	owner  string
-	digest uint64
-	done   bool
-	voted  bool
-	unsure bool // not found, but an instance that may hold it did not answer
+// location is the result of a search for a record.
+type location struct {
+	owner      string
+	digest     uint64
+	done       bool
+	claimed    bool // the request may not be repeated and runs under a claim
+	incomplete bool // an instance that may hold the record did not answer
 }
 
-// locate asks the keepers of an id, and in a small fleet all instances, who
-// owns its record.
-func (r *Relay) locate(ctx context.Context, id string) (place, bool) {
-	s := r.snap()
+// locate finds the owner of a record. It uses the local copy if that names another living
+// instance. Else it asks the keepers of the id's shard, or all instances in a fleet of at most
+// member.FullMesh others. The second result is false if no instance holds the record.
+func (r *Relay) locate(ctx context.Context, id string) (location, bool) {
+	s := r.snapshot()
 	if rec, ok := r.store.Get(id); ok && rec.Owner() != "" {
 		if m, known := s.Member(rec.Owner()); known && m.State != member.Dead && m.ID != r.Self {
-			return place{owner: rec.Owner(), digest: rec.Digest, voted: !rec.Repeatable}, true
+			return location{owner: rec.Owner(), digest: rec.Digest, claimed: !rec.Repeatable}, true
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
-	ask := r.candidates(s, id)
-	found := make([]*peerpb.FindAnswer, len(ask))
+	asked := r.candidates(s, id)
+	found := make([]*peerpb.FindAnswer, len(asked))
 	var wait sync.WaitGroup
-	for i, m := range ask {
+	for i, m := range asked {
 		wait.Go(func() {
 			a, err := r.Peers.Call(ctx, m.Addr, &peerpb.Call{Body: &peerpb.Call_Find{Find: &peerpb.Find{Id: id}}})
 			if err == nil {
@@ -196,10 +199,11 @@
 		})
 	}
 	wait.Wait()
-	return r.best(s, id, ask, found)
+	return r.chooseLocation(s, id, asked, found)
 }
 
-// candidates returns the instances that may hold a record.
+// candidates returns the instances to ask for a record: all that are not dead in a small fleet,
+// else the keepers of the id's shard.
 func (r *Relay) candidates(s *control.Snapshot, id string) []member.Member {
 	if len(s.Members) <= member.FullMesh {
 		var out []member.Member
@@ -222,13 +226,14 @@
 	return out
 }
 
-// best chooses among the answers: one that has the result, then a living owner.
-func (r *Relay) best(s *control.Snapshot, id string, ask []member.Member, found []*peerpb.FindAnswer) (place, bool) {
-	var best place
+// chooseLocation chooses among the answers and this keeper's own claim: first a record with its result,
+// then one whose owner is not dead. found has the answers by the index in asked, nil for none.
+func (r *Relay) chooseLocation(s *control.Snapshot, id string, asked []member.Member, found []*peerpb.FindAnswer) (location, bool) {
+	var best location
 	ok := false
-	consider := func(p place) {
+	consider := func(p location) {
 		if ok && p.owner == r.Self {
-			return // not here, or it would have been followed here
+			return // the record is not in the local store, else followOnce would have used it
 		}
 		m, known := s.Member(p.owner)
 		alive := known && m.State != member.Dead
@@ -242,19 +247,19 @@
 	c, voted := r.keeper.Look(id, r.Clock.Now())
 	r.keeperMu.Unlock()
 	if voted {
-		consider(place{owner: c.Owner, digest: c.Digest, voted: true})
+		consider(location{owner: c.Owner, digest: c.Digest, claimed: true})
 	}
-	unsure := false
+	incomplete := false
 	for i, f := range found {
 		switch {
 		case f == nil:
-			unsure = unsure || ask[i].State != member.Dead
+			incomplete = incomplete || asked[i].State != member.Dead
 		case f.Found && f.Done:
-			consider(place{owner: ask[i].ID, digest: f.Digest, done: true, voted: f.Voted})
+			consider(location{owner: asked[i].ID, digest: f.Digest, done: true, claimed: f.Voted})
 		case f.Found:
-			consider(place{owner: f.Owner, digest: f.Digest, voted: f.Voted})
+			consider(location{owner: f.Owner, digest: f.Digest, claimed: f.Voted})
 		}
 	}
-	best.unsure = unsure
+	best.incomplete = incomplete
 	return best, ok
 }
--- a/internal/relay/handle.go
+++ b/internal/relay/handle.go
@@ -14,19 +14,19 @@
 	"github.com/shelfcrank/shelfcrank/internal/record"
 )
 
-// Handle answers the calls of other instances that concern requests. The
-// second result of handled is false for calls that concern something else.
+// Handle answers the peer calls that concern requests, records and claims. handled is false for
+// all other calls, which are not answered.
 func (r *Relay) Handle(ctx context.Context, call *peerpb.Call, answer func(*peerpb.Answer) error) (handled bool, err error) {
 	switch b := call.Body.(type) {
 	case *peerpb.Call_Hold:
-		return true, answer(&peerpb.Answer{Body: &peerpb.Answer_Hold{Hold: r.hold(b.Hold, call.From)}})
+		return true, answer(&peerpb.Answer{Body: &peerpb.Answer_Hold{Hold: r.handleHold(b.Hold, call.From)}})
 	case *peerpb.Call_Progress:
 		for _, u := range b.Progress.Updates {
-			r.update(u, call.From)
+			r.applyUpdate(u, call.From)
 		}
 		return true, done(answer)
 	case *peerpb.Call_Find:
-		return true, answer(&peerpb.Answer{Body: &peerpb.Answer_Find{Find: r.findHere(b.Find.Id)}})
+		return true, answer(&peerpb.Answer{Body: &peerpb.Answer_Find{Find: r.findLocal(b.Find.Id)}})
 	case *peerpb.Call_Suspects:
 		r.applySuspects(b.Suspects.Suspects)
 		return true, done(answer)
@@ -34,9 +34,9 @@
 		r.releaseClaim(b.Release.Id, b.Release.Attempt, peer.Time(b.Release.Lapse))
 		return true, done(answer)
 	case *peerpb.Call_Pull:
-		return true, r.transfer(ctx, b.Pull, call.From, answer)
+		return true, r.sendClaims(ctx, b.Pull, call.From, answer)
 	case *peerpb.Call_Handover:
-		return true, r.takeHandover(ctx, b.Handover, call.From, answer)
+		return true, r.acceptHandover(ctx, b.Handover, call.From, answer)
 	case *peerpb.Call_Follow:
 		return true, r.serveFollow(ctx, b.Follow, answer)
 	default:
@@ -48,12 +48,12 @@
 	return answer(&peerpb.Answer{Body: &peerpb.Answer_Done{Done: &peerpb.Done{}}})
 }
 
-// hold keeps a second copy, or gives a vote when one is asked for.
-func (r *Relay) hold(h *peerpb.Hold, from string) *peerpb.HoldAnswer {
+// handleHold stores the second copy of a record, or votes on a claim if the call names an attempt.
+func (r *Relay) handleHold(h *peerpb.Hold, from string) *peerpb.HoldAnswer {
 	if h.Attempt != "" {
 		return r.vote(h)
 	}
-	s := r.snap()
+	s := r.snapshot()
 	if s.Leaving {
 		return &peerpb.HoldAnswer{Outcome: peerpb.HoldAnswer_LEAVING}
 	}
@@ -77,11 +77,12 @@
 	return &peerpb.HoldAnswer{}
 }
 
-// merge adds what another instance knows of a record.
+// merge adds tokens, which start at position from, and a result that another instance sent. The
+// result of a model call is taken only if no token before it is missing; a failure always.
 func (r *Relay) merge(rec *record.Record, from int, tokens []string, res *record.Result) {
 	if from <= rec.Position() && !rec.Done() {
 		if err := rec.Append(from, tokens...); err != nil {
-			r.broken("copies agree: "+err.Error(), rec)
+			r.logInvariantBroken("copies agree: "+err.Error(), rec)
 			return
 		}
 	}
@@ -90,8 +91,9 @@
 	}
 }
 
-// update brings a second copy up to date.
-func (r *Relay) update(u *peerpb.Update, from string) {
+// applyUpdate applies the owner's progress to a second copy. An update that names an attempt carries
+// the result of a request that may not be repeated, for the keepers of its claim.
+func (r *Relay) applyUpdate(u *peerpb.Update, from string) {
 	if u.Attempt != "" {
 		r.finishClaim(u.Id, u.Attempt)
 		r.storeResult(u.Head, u.Result, from)
@@ -108,7 +110,7 @@
 	r.merge(rec, int(u.From), u.Tokens, peer.FromResult(u.Result, from))
 }
 
-func (r *Relay) findHere(id string) *peerpb.FindAnswer {
+func (r *Relay) findLocal(id string) *peerpb.FindAnswer {
 	if rec, ok := r.store.Get(id); ok && rec.Owner() != "" {
 		return &peerpb.FindAnswer{Found: true, Owner: rec.Owner(), Done: rec.Done(), Voted: !rec.Repeatable, Digest: rec.Digest}
 	}
@@ -120,9 +122,9 @@
 	return &peerpb.FindAnswer{}
 }
 
-// transfer hands this keeper's claims to a keeper of a newer view, after
-// installing that view here.
-func (r *Relay) transfer(ctx context.Context, p *peerpb.Pull, to string, answer func(*peerpb.Answer) error) error {
+// sendClaims installs a newer view and sends this keeper's claims to a keeper of that view. The
+// order matters: after the installation this keeper gives no votes in the old view.
+func (r *Relay) sendClaims(ctx context.Context, p *peerpb.Pull, to string, answer func(*peerpb.Answer) error) error {
 	v, err := claim.DecodeView(p.View)
 	if err != nil {
 		return fault.New(fault.StepPeer, to, fault.KindInput, fault.NotRun, "%w", err)
@@ -133,7 +135,7 @@
 	t, ok := r.keeper.Transfer(to, p.Epoch)
 	r.keeperMu.Unlock()
 	if !ok {
-		return fault.New(fault.StepPeer, to, fault.KindRefused, fault.NotRun, "another view is installed here")
+		return fault.New(fault.StepPeer, to, fault.KindRefused, fault.NotRun, "this instance has installed another view")
 	}
 	out := &peerpb.PullAnswer{Epoch: t.Epoch, Ready: make([]byte, (claim.Shards+7)/8), From: r.Self}
 	for i, knew := range t.Knew {
@@ -159,10 +161,11 @@
 	return m
 }
 
-// takeHandover makes this instance the owner of a record.
-func (r *Relay) takeHandover(ctx context.Context, h *peerpb.Handover, from string, answer func(*peerpb.Answer) error) error {
-	if r.snap().Leaving {
-		return fault.New(fault.StepHold, r.Self, fault.KindRefused, fault.NotRun, "leaving too")
+// acceptHandover makes this instance the owner of a record that a leaving instance hands over, and
+// continues it.
+func (r *Relay) acceptHandover(ctx context.Context, h *peerpb.Handover, from string, answer func(*peerpb.Answer) error) error {
+	if r.snapshot().Leaving {
+		return fault.New(fault.StepHold, r.Self, fault.KindRefused, fault.NotRun, "this instance is leaving as well")
 	}
 	h.Record.Owner = r.Self
 	rec, added := r.store.Add(peer.FromRecord(h.Record, from))
@@ -176,20 +179,21 @@
 	return done(answer)
 }
 
-// resume goes on with a record that this instance became the owner of. It is
-// for records that may run again.
+// resume continues a record that this instance became the owner of and places a new second copy.
+// The request must be repeatable.
 func (r *Relay) resume(rec *record.Record) {
-	r.replaceSecond(rec)
+	r.replaceSecondCopy(rec)
 	if !rec.Done() {
 		r.start(rec, nil)
 	}
 }
 
-// serveFollow sends the answer of a record that is here to another instance.
+// serveFollow streams the answer of a local record to another instance. A last chunk with Moved
+// says that the record has another owner by now.
 func (r *Relay) serveFollow(ctx context.Context, f *peerpb.Follow, answer func(*peerpb.Answer) error) error {
 	rec, ok := r.store.Get(f.Id)
 	if !ok {
-		return fault.New(fault.StepResume, r.Self, fault.KindNotFound, fault.MayHaveRun, "not here")
+		return fault.New(fault.StepResume, r.Self, fault.KindNotFound, fault.MayHaveRun, "this instance holds no record of the request")
 	}
 	pos := int(f.From)
 	head := peer.ToHead(rec)
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	holdTimeout  = 700 * time.Millisecond
-	claimTimeout = 500 * time.Millisecond
-	claimGiveUp  = 3 * time.Second // an attempt that has no majority by then fails at once
-	claimPause   = 40 * time.Millisecond
+	holdTimeout      = 700 * time.Millisecond
+	claimTimeout     = 500 * time.Millisecond
+	claimRetryPeriod = 3 * time.Second // attempts without a majority of votes are repeated for so long
+	claimPause       = 40 * time.Millisecond
 )
 
-// seconds returns the instances that may hold a second copy, best first: the
-// keepers of the id's shard, then any other, never in the own hall unless the
-// whole fleet is in one.
-func (r *Relay) seconds(s *control.Snapshot, id string) []member.Member {
+// secondCopyCandidates returns the instances that may hold the second copy of a record, best
+// first: the keepers of the id's shard, then all others, rotated by shard to spread the load.
+// Instances in this hall are left out unless all instances are in one hall.
+func (r *Relay) secondCopyCandidates(s *control.Snapshot, id string) []member.Member {
 	oneHall := s.Halls() < 2
 	var out []member.Member
 	add := func(m member.Member, ok bool) {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// alone reports whether this is the only entry instance there is.
-func alone(s *control.Snapshot) bool {
+// onlyInstance reports whether this is the only entry instance that lives and the only one in the view.
+func onlyInstance(s *control.Snapshot) bool {
 	for _, m := range s.Members {
 		if m.State != member.Dead {
 			return false
@@ -66,30 +66,32 @@
 	return s.View == nil || len(s.View.Members) < 2
 }
 
-// replaceSecond places a second copy of a record that lost its one, in the
-// background.
-func (r *Relay) replaceSecond(rec *record.Record) {
+// replaceSecondCopy places a new second copy of a record in the background. If that fails, the record
+// goes on without one and is lost when this instance dies.
+func (r *Relay) replaceSecondCopy(rec *record.Record) {
 	r.wait.Go(func() {
-		if err := r.placeSecond(r.ctx, rec); err != nil {
-			r.Log.Warn("no second copy", zap.String("request", rec.ID), zap.Error(err))
+		if err := r.placeSecondCopy(r.ctx, rec); err != nil {
+			r.Log.Warn("could not place a second copy", zap.String("request", rec.ID), zap.Error(err))
 		}
 	})
 }
 
-// placeSecond has another instance in another hall hold a copy of the record.
-func (r *Relay) placeSecond(ctx context.Context, rec *record.Record) error {
-	s := r.snap()
-	if alone(s) {
+// placeSecondCopy stores a second copy of the record at the first of the secondCopyCandidates that
+// accepts it. A fleet of one instance needs no copy. The error is errTaken if another instance
+// already owns the request.
+func (r *Relay) placeSecondCopy(ctx context.Context, rec *record.Record) error {
+	s := r.snapshot()
+	if onlyInstance(s) {
 		return nil
 	}
-	last := errors.New("none is usable")
-	for _, m := range r.seconds(s, rec.ID) {
+	lastErr := errors.New("no usable instance")
+	for _, m := range r.secondCopyCandidates(s, rec.ID) {
 		ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 		pos := rec.Position()
 		a, err := r.Peers.Call(ctx, m.Addr, &peerpb.Call{Body: &peerpb.Call_Hold{Hold: &peerpb.Hold{Record: peer.ToRecord(rec)}}})
 		cancel()
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		switch h := a.GetHold(); h.GetOutcome() {
@@ -102,56 +104,57 @@
 		case peerpb.HoldAnswer_CONFLICT:
 			return fault.New(fault.StepHold, m.ID, fault.KindConflict, fault.NotRun, "the Idempotency-Key is in use for another request")
 		default:
-			last = fault.New(fault.StepHold, m.ID, fault.KindRefused, fault.NotRun, "second copy: %s", h.GetOutcome())
+			lastErr = fault.New(fault.StepHold, m.ID, fault.KindRefused, fault.NotRun, "second copy: %s", h.GetOutcome())
 		}
 	}
-	return fault.New(fault.StepHold, "", fault.KindRefused, notRunIf(rec.Fresh), "no instance in another hall holds a second copy: %w", last).Retry(r.Clock.Now().Add(retryAfter))
+	return fault.New(fault.StepHold, "", fault.KindRefused, notRunIf(rec.Fresh), "no instance in another hall accepted a second copy: %w", lastErr).Retry(r.Clock.Now().Add(retryAfter))
 }
 
-// ballot counts the keepers' answers to one attempt.
-type ballot struct {
-	self     string // entry instance that asks
-	granted  []string
-	taken    map[string]int // by attempt
-	conflict bool
-	unknown  int
-	newer    uint64 // epoch of a keeper ahead of this instance
-	newerAt  netip.AddrPort
-	done     bool
+// voteCount counts the keepers' answers to one attempt to claim a key.
+type voteCount struct {
+	self       string // ID of the entry instance that makes the attempt
+	granted    []string
+	taken      map[string]int // number of keepers that voted for another attempt, by that attempt
+	conflict   bool
+	unknown    int            // keepers that may have lost earlier claims
+	newerEpoch uint64         // highest epoch of the keepers with a newer view than this instance
+	newerAddr  netip.AddrPort // address of that keeper
+	done       bool           // a taken key's attempt has ended with a result
 }
 
-// acceptOnce wins the claim for a request that may not be repeated. Before it
-// returns nil, most keepers of the key's shard have recorded this attempt.
-func (r *Relay) acceptOnce(ctx context.Context, rec *record.Record) error {
+// acceptWithClaim claims the key of a request that may not be repeated, and starts the request. It
+// starts it only after a majority of the keepers of the key's shard have recorded this attempt.
+// The error is errTaken if another attempt has the key.
+func (r *Relay) acceptWithClaim(ctx context.Context, rec *record.Record) error {
 	if r.Switches.NoClaim {
 		r.start(rec, nil)
 		return nil
 	}
-	giveUp := r.Clock.Now().Add(claimGiveUp)
-	if rec.Deadline.Before(giveUp) {
-		giveUp = rec.Deadline
+	limit := r.Clock.Now().Add(claimRetryPeriod)
+	if rec.Deadline.Before(limit) {
+		limit = rec.Deadline
 	}
-	lapse := rec.Deadline.Add(r.snap().Table.System.Retention)
+	lapse := rec.Deadline.Add(r.snapshot().Table.System.Retention)
 	for {
-		s := r.snap()
+		s := r.snapshot()
 		if s.View != nil {
 			group := s.View.Group(claim.ShardOf(rec.ID))
-			attempt := r.Self + "/" + strconv.FormatUint(r.draw(), 36)
-			b := r.poll(ctx, rec, s.View, group, attempt, lapse)
+			attempt := r.Self + "/" + strconv.FormatUint(r.random(), 36)
+			b := r.requestVotes(ctx, rec, s.View, group, attempt, lapse)
 			if len(b.granted) >= claim.Majority(len(group)) {
 				rec.SetAttempt(attempt)
 				r.start(rec, nil)
 				return nil
 			}
-			r.release(rec, group, attempt, lapse)
-			if done, err := r.lostBallot(rec, group, b); done {
+			r.releaseVotes(rec, group, attempt, lapse)
+			if done, err := r.afterLostVote(rec, group, b); done {
 				return err
 			}
 		}
-		if !r.Clock.Now().Before(giveUp) || ctx.Err() != nil {
-			return fault.New(fault.StepClaim, "", fault.KindTimeout, notRunIf(rec.Fresh), "most keepers of the key did not answer").Retry(r.Clock.Now().Add(retryAfter))
+		if !r.Clock.Now().Before(limit) || ctx.Err() != nil {
+			return fault.New(fault.StepClaim, "", fault.KindTimeout, notRunIf(rec.Fresh), "no majority of the keepers of the key voted for the attempt in time").Retry(r.Clock.Now().Add(retryAfter))
 		}
-		pause := claimPause + time.Duration(r.draw()%uint64(claimPause))
+		pause := claimPause + time.Duration(r.random()%uint64(claimPause))
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
@@ -159,46 +162,47 @@
 	}
 }
 
-// lostBallot decides after an attempt that did not win: done says that there is
-// no use in another one. A nil error then means that another attempt has the
-// key, and its answer is to be followed.
-func (r *Relay) lostBallot(rec *record.Record, group []claim.Member, b ballot) (done bool, err error) {
-	if b.newer > 0 {
-		r.FetchFrom(b.newerAt)
+// afterLostVote decides what follows an attempt without a majority. done is true if a further attempt
+// is useless; err then says why, and is errTaken if another attempt has the key, whose answer the
+// caller gets. A keeper with a newer view is asked for it first.
+func (r *Relay) afterLostVote(rec *record.Record, group []claim.Member, b voteCount) (done bool, err error) {
+	if b.newerEpoch > 0 {
+		r.FetchFrom(b.newerAddr)
 	}
 	if b.conflict {
 		return true, fault.New(fault.StepClaim, "", fault.KindConflict, fault.NotRun, "the Idempotency-Key is in use for another request")
 	}
-	most := claim.Majority(len(group))
+	majority := claim.Majority(len(group))
 	for _, n := range b.taken {
-		if n >= most || b.done {
+		if n >= majority || b.done {
 			return true, errTaken
 		}
 	}
-	if b.unknown >= most || b.unknown+len(b.granted) >= len(group) && b.unknown > 0 {
+	if b.unknown >= majority || b.unknown+len(b.granted) >= len(group) && b.unknown > 0 {
 		return true, fault.New(fault.StepClaim, "", fault.KindInternal, fault.MayHaveRun, "claims of the key may have been lost, so an earlier attempt may have run")
 	}
 	return false, nil
 }
 
-// errTaken says that another attempt has the key.
+// errTaken means that another attempt has the key or owns the request; its answer is followed.
 var errTaken = fault.New(fault.StepClaim, "", fault.KindConflict, fault.MayHaveRun, "another attempt has the key")
 
-// poll asks all keepers of a shard for their vote at once.
-func (r *Relay) poll(ctx context.Context, rec *record.Record, v *claim.View, group []claim.Member, attempt string, lapse time.Time) ballot {
+// requestVotes asks all keepers of a shard for their votes in parallel, and returns when a majority has
+// granted them or all have answered or timed out.
+func (r *Relay) requestVotes(ctx context.Context, rec *record.Record, v *claim.View, group []claim.Member, attempt string, lapse time.Time) voteCount {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	head := peer.ToHead(rec)
 	answers := make(chan keeperAnswer, len(group))
 	for _, k := range group {
-		go func() { answers <- r.askKeeper(ctx, k, head, v.Epoch, attempt, lapse) }()
+		go func() { answers <- r.requestVote(ctx, k, head, v.Epoch, attempt, lapse) }()
 	}
-	b := ballot{self: r.Self, taken: make(map[string]int)}
+	b := voteCount{self: r.Self, taken: make(map[string]int)}
 	for range group {
 		a := <-answers
 		b.count(a)
 		if len(b.granted) >= claim.Majority(len(group)) {
-			break // the other answers only confirm it
+			break // the remaining answers cannot change the result
 		}
 	}
 	return b
@@ -209,7 +213,7 @@
 	answer *peerpb.HoldAnswer // nil when the keeper did not answer
 }
 
-func (r *Relay) askKeeper(ctx context.Context, k claim.Member, head *peerpb.Record, epoch uint64, attempt string, lapse time.Time) keeperAnswer {
+func (r *Relay) requestVote(ctx context.Context, k claim.Member, head *peerpb.Record, epoch uint64, attempt string, lapse time.Time) keeperAnswer {
 	hold := &peerpb.Hold{Record: head, Attempt: attempt, Epoch: epoch, Lapse: peer.Nanos(lapse)}
 	if k.ID == r.Self {
 		return keeperAnswer{k, r.vote(hold)}
@@ -221,7 +225,7 @@
 	return keeperAnswer{k, a.GetHold()}
 }
 
-func (b *ballot) count(a keeperAnswer) {
+func (b *voteCount) count(a keeperAnswer) {
 	if a.answer == nil {
 		return
 	}
@@ -230,8 +234,8 @@
 		b.granted = append(b.granted, a.from.ID)
 	case peerpb.HoldAnswer_TAKEN:
 		if a.answer.Owner == b.self && !a.answer.Done {
-			// An attempt of this very call that was given up: its vote was
-			// given after the call had timed out, and its release is on its way.
+			// The vote is for an earlier attempt of this instance that was abandoned: the
+			// keeper voted after the call had timed out, and the release is on its way.
 			return
 		}
 		b.taken[a.answer.Attempt]++
@@ -241,13 +245,13 @@
 	case peerpb.HoldAnswer_UNKNOWN:
 		b.unknown++
 	case peerpb.HoldAnswer_STALE:
-		if a.answer.Epoch > b.newer {
-			b.newer, b.newerAt = a.answer.Epoch, a.from.Addr
+		if a.answer.Epoch > b.newerEpoch {
+			b.newerEpoch, b.newerAddr = a.answer.Epoch, a.from.Addr
 		}
 	}
 }
 
-// vote gives this instance's own vote.
+// vote answers a request for this instance's vote as a keeper.
 func (r *Relay) vote(h *peerpb.Hold) *peerpb.HoldAnswer {
 	now := r.Clock.Now()
 	m := h.Record
@@ -275,8 +279,9 @@
 	return out
 }
 
-// release takes back the votes of an attempt that runs nothing.
-func (r *Relay) release(rec *record.Record, group []claim.Member, attempt string, lapse time.Time) {
+// releaseVotes makes the keepers take back their votes for an attempt that has run nothing. Calls to
+// other keepers are sent in the background, once each.
+func (r *Relay) releaseVotes(rec *record.Record, group []claim.Member, attempt string, lapse time.Time) {
 	for _, k := range group {
 		if k.ID == r.Self {
 			r.releaseClaim(rec.ID, attempt, lapse)
@@ -290,13 +295,14 @@
 	}
 }
 
-const finishTries = 5
+const maxPublishAttempts = 5
 
-// publishResult gives the result of a request that may not be repeated to the
-// keepers of its claim, so that a repeat anywhere gets it.
+// publishResult sends the result of a request that may not be repeated to the keepers of its
+// claim, so that a repeat at any entry instance gets that result. Calls to other keepers run in the
+// background, with up to maxPublishAttempts attempts each.
 func (r *Relay) publishResult(rec *record.Record) {
 	p, _ := rec.Progress(0)
-	s := r.snap()
+	s := r.snapshot()
 	if p.Result == nil || s.View == nil {
 		return
 	}
@@ -307,7 +313,7 @@
 			continue
 		}
 		r.wait.Go(func() {
-			for range finishTries {
+			for range maxPublishAttempts {
 				ctx, cancel := context.WithTimeout(r.ctx, holdTimeout)
 				_, err := r.Peers.Call(ctx, k.Addr, &peerpb.Call{Body: &peerpb.Call_Progress{Progress: &peerpb.Progress{Updates: []*peerpb.Update{update}}}})
 				cancel()
@@ -332,9 +338,10 @@
 	r.keeper.Finish(id, attempt)
 }
 
-// InstallView moves the keeper to a view and collects the claims it lacks.
+// InstallView makes the keeper use a view if it is newer than the installed one. PullClaims then
+// collects the claims that the keeper lacks in it.
 func (r *Relay) InstallView(v *claim.View) {
-	s := r.snap()
+	s := r.snapshot()
 	retention := defaultRetention
 	if s.Table != nil {
 		retention = s.Table.System.Retention
@@ -352,11 +359,12 @@
 
 const defaultRetention = 10 * time.Minute
 
-const pullEvery = 150 * time.Millisecond
+const pullInterval = 150 * time.Millisecond
 
-// PullClaims collects the claims that this keeper lacks until ctx ends.
+// PullClaims asks the old keepers for the claims that this keeper lacks, until ctx ends. It logs
+// when more shards may have lost claims than before.
 func (r *Relay) PullClaims(ctx context.Context) error {
-	t := time.NewTicker(pullEvery)
+	t := time.NewTicker(pullInterval)
 	defer t.Stop()
 	unknown := 0
 	for {
@@ -375,13 +383,13 @@
 		unknown = n
 		var wait sync.WaitGroup
 		for _, m := range missing {
-			wait.Go(func() { r.pull(ctx, view, m) })
+			wait.Go(func() { r.pullFrom(ctx, view, m) })
 		}
 		wait.Wait()
 	}
 }
 
-func (r *Relay) pull(ctx context.Context, v *claim.View, from claim.Member) {
+func (r *Relay) pullFrom(ctx context.Context, v *claim.View, from claim.Member) {
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
 	doc, err := v.Encode()
@@ -390,7 +398,7 @@
 	}
 	a, err := r.Peers.Call(ctx, from.Addr, &peerpb.Call{Body: &peerpb.Call_Pull{Pull: &peerpb.Pull{Epoch: v.Epoch, View: doc}}})
 	if err != nil || a.GetPull() == nil || a.GetPull().From != from.ID {
-		return // not there, or another incarnation under its address
+		return // no answer, or another incarnation of the instance has the address now
 	}
 	p := a.GetPull()
 	t := claim.Transfer{Epoch: p.Epoch, Knew: make([]bool, claim.Shards)}
@@ -411,7 +419,7 @@
 	r.keeper.Receive(from.ID, t)
 }
 
-// storeResult keeps the result of a claim that this instance is a keeper of.
+// storeResult stores the request and the result of a claim that this instance keeps.
 func (r *Relay) storeResult(head *peerpb.Record, res *peerpb.Result, from string) {
 	if head == nil {
 		return
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -27,10 +27,10 @@
 		final   bool
 		follow  bool // another attempt's answer is followed
 	}{
-		{"another attempt has most votes", []keeperAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "b", "b/1", false)}, true, true},
+		{"another attempt has the majority of votes", []keeperAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "b", "b/1", false)}, true, true},
 		{"another attempt ran", []keeperAnswer{answerOf(taken, "b", "b/1", true)}, true, true},
 		{"two attempts share the votes", []keeperAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "c", "c/1", false)}, false, false},
-		{"an own attempt that was given up", []keeperAnswer{answerOf(taken, "a", "a/1", false), answerOf(taken, "a", "a/1", false)}, false, false},
+		{"an abandoned own attempt", []keeperAnswer{answerOf(taken, "a", "a/1", false), answerOf(taken, "a", "a/1", false)}, false, false},
 		{"an own attempt that ran", []keeperAnswer{answerOf(taken, "a", "a/1", true)}, true, true},
 		{"claims may be lost", []keeperAnswer{answerOf(unknown, "", "", false), answerOf(unknown, "", "", false)}, true, false},
 		{"one granted, others silent", []keeperAnswer{answerOf(held, "", "", false), {}, {}}, false, false},
@@ -38,12 +38,12 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := ballot{self: "a", taken: make(map[string]int)}
+			b := voteCount{self: "a", taken: make(map[string]int)}
 			for _, a := range tt.answers {
 				b.count(a)
 			}
 			r := &Relay{}
-			final, err := r.lostBallot(record.New(record.Request{ID: "k"}, "a"), make([]claim.Member, claim.GroupSize), b)
+			final, err := r.afterLostVote(record.New(record.Request{ID: "k"}, "a"), make([]claim.Member, claim.GroupSize), b)
 			is.Equal(final, tt.final)
 			is.Equal(err == error(errTaken), tt.follow)
 		})
--- a/internal/relay/leave.go
+++ b/internal/relay/leave.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	leavePoll       = 30 * time.Millisecond
-	handoverShare   = 0.5                     // share of a notice after which records are handed over
-	handoverSend    = 100 * time.Millisecond  // kept for the last messages
-	claimsWait      = 6 * time.Second         // most that a planned stop waits for its claims to be collected
-	collectWait     = 1200 * time.Millisecond // for the keepers of a new view to collect the claims kept here
-	followersWait   = 500 * time.Millisecond  // for callers that follow through this instance
-	heldWait        = 1500 * time.Millisecond // for owners to place second copies elsewhere
-	handoverAgain   = 150 * time.Millisecond
-	handoverAtOnce  = 32 // handovers in flight
-	handoverTimeout = time.Second
+	leavePollInterval     = 30 * time.Millisecond
+	handoverShare         = 0.5                     // share of the notice period in which requests may still end here; after it they are handed over
+	finalMessagesReserve  = 100 * time.Millisecond  // reserved at the end for the last messages
+	claimsTimeout         = 6 * time.Second         // longest wait of a planned stop for the new keepers to collect the claims
+	claimCollectTime      = 1200 * time.Millisecond // time that the keepers of a new view have to collect the claims kept here
+	followersGracePeriod  = 500 * time.Millisecond  // lets callers that follow answers through this instance get their last chunks
+	updatesTimeout        = 1500 * time.Millisecond // longest wait for the delivery of updates; meanwhile owners replace the second copies held here
+	handoverRetryInterval = 150 * time.Millisecond  // between two rounds of handovers
+	maxHandovers          = 32                      // handovers in flight at once
+	handoverTimeout       = time.Second
 )
 
-// Leave gives away all that this instance holds and returns the number of
-// requests that it could not give away. by is when the instance goes; for a
-// planned stop it is zero and the table's stop deadline counts.
+// Leave drains this instance and returns the number of requests that it could neither finish nor
+// hand over. It waits for running requests, hands the rest over to other instances, and waits until
+// updates are delivered and the keepers of a new view have the claims kept here. by is the time at
+// which the instance goes. It is zero for a planned stop, which waits up to the table's stop
+// deadline for running requests.
 func (r *Relay) Leave(ctx context.Context, by time.Time) int {
 	r.draining.Store(true)
 	start := r.Clock.Now()
@@ -36,28 +38,27 @@
 	var handover time.Time
 	if planned {
 		handover = start.Add(r.stopDeadline())
-		by = handover.Add(handoverTimeout + claimsWait)
+		by = handover.Add(handoverTimeout + claimsTimeout)
 	} else {
 		handover = start.Add(time.Duration(float64(by.Sub(start)) * handoverShare))
 	}
-	limit := by.Add(-handoverSend)
-	r.waitUntil(ctx, handover, r.ownsNothing)
-	r.giveAway(ctx, limit)
-	r.waitUntil(ctx, earlier(limit, r.Clock.Now().Add(heldWait)), r.updatesDelivered)
+	limit := by.Add(-finalMessagesReserve)
+	r.waitUntil(ctx, handover, r.ownsNoRecords)
+	r.handOverAll(ctx, limit)
+	r.waitUntil(ctx, earlier(limit, r.Clock.Now().Add(updatesTimeout)), r.updatesDelivered)
 	if planned {
-		limit = earlier(limit, r.Clock.Now().Add(claimsWait))
+		limit = earlier(limit, r.Clock.Now().Add(claimsTimeout))
 	}
-	r.waitUntil(ctx, limit, r.replaced)
+	r.waitUntil(ctx, limit, r.claimsCollected)
 	if planned {
-		r.waitUntil(ctx, r.Clock.Now().Add(followersWait), func() bool { return false })
-		limit = by.Add(-handoverSend)
+		r.waitUntil(ctx, r.Clock.Now().Add(followersGracePeriod), func() bool { return false })
+		limit = by.Add(-finalMessagesReserve)
 	}
-	// The death of another instance may have made this one the owner of its
-	// records meanwhile.
-	r.giveAway(ctx, limit)
+	// This instance may have taken over records of an instance that died meanwhile.
+	r.handOverAll(ctx, limit)
 	left := r.owned()
 	for _, rec := range left {
-		r.Log.Warn("left behind", zap.String("request", rec.ID), zap.String("class", rec.Class), zap.Int("position", rec.Position()))
+		r.Log.Warn("request neither finished nor handed over", zap.String("request", rec.ID), zap.String("class", rec.Class), zap.Int("position", rec.Position()))
 	}
 	return len(left)
 }
@@ -69,20 +70,21 @@
 	return b
 }
 
-func (r *Relay) ownsNothing() bool { return len(r.owned()) == 0 }
+func (r *Relay) ownsNoRecords() bool { return len(r.owned()) == 0 }
 
-// giveAway hands over what runs here, again and again, since a target may
-// refuse or die, until nothing is left or the limit comes.
-func (r *Relay) giveAway(ctx context.Context, limit time.Time) {
-	for !r.Switches.NoHandover && !r.ownsNothing() && r.Clock.Now().Before(limit) && ctx.Err() == nil {
-		r.handOver(ctx, limit)
-		r.waitUntil(ctx, earlier(limit, r.Clock.Now().Add(handoverAgain)), r.ownsNothing)
+// handOverAll hands over the records that this instance owns, until it owns none or the limit has
+// passed. It repeats the handovers, since a target may refuse or die. Records that cannot be
+// handed over get the remaining time to end here.
+func (r *Relay) handOverAll(ctx context.Context, limit time.Time) {
+	for !r.Switches.NoHandover && !r.ownsNoRecords() && r.Clock.Now().Before(limit) && ctx.Err() == nil {
+		r.handOverRound(ctx, limit)
+		r.waitUntil(ctx, earlier(limit, r.Clock.Now().Add(handoverRetryInterval)), r.ownsNoRecords)
 	}
-	r.waitUntil(ctx, limit, r.ownsNothing)
+	r.waitUntil(ctx, limit, r.ownsNoRecords)
 }
 
 func (r *Relay) stopDeadline() time.Duration {
-	if s := r.snap(); s.Table != nil {
+	if s := r.snapshot(); s.Table != nil {
 		return s.Table.System.StopDeadline
 	}
 	return 0
@@ -93,62 +95,63 @@
 	return r.store.All(func(rec *record.Record) bool { return rec.Owner() == r.Self && !rec.Done() })
 }
 
-// updatesDelivered reports whether all holders know all there is to know, and all
-// results of requests that may not be repeated are with their keepers.
+// updatesDelivered reports whether no record has updates that wait to be sent to the holder of its
+// second copy. Calls in flight are not counted.
 func (r *Relay) updatesDelivered() bool {
 	r.runMu.Lock()
 	defer r.runMu.Unlock()
 	return len(r.updated) == 0
 }
 
-// replaced reports whether a view without this instance is in force and its
-// keepers have had time to collect the claims kept here.
-func (r *Relay) replaced() bool {
+// claimsCollected reports whether a view without this instance is installed and its keepers have had
+// time to collect the claims kept here, or no view is installed at all.
+func (r *Relay) claimsCollected() bool {
 	r.keeperMu.Lock()
 	defer r.keeperMu.Unlock()
 	v := r.keeper.View()
-	return v == nil || !v.Has(r.Self) && r.Clock.Since(r.installedAt) > collectWait
+	return v == nil || !v.Has(r.Self) && r.Clock.Since(r.installedAt) > claimCollectTime
 }
 
 func (r *Relay) waitUntil(ctx context.Context, limit time.Time, ok func() bool) {
 	for !ok() && r.Clock.Now().Before(limit) && ctx.Err() == nil {
 		select {
-		case <-time.After(leavePoll):
+		case <-time.After(leavePollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// handOver gives the running records to other owners, the most urgent first.
-func (r *Relay) handOver(ctx context.Context, by time.Time) {
+// handOverRound tries once to hand over each repeatable record that this instance owns, by priority and
+// then by deadline.
+func (r *Relay) handOverRound(ctx context.Context, by time.Time) {
 	records := r.owned()
 	slices.SortFunc(records, func(a, b *record.Record) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), a.Deadline.Compare(b.Deadline))
 	})
 	ctx, deadline := r.Clock.WithDeadline(ctx, by, context.DeadlineExceeded)
 	defer deadline.Stop()
-	slots := make(chan struct{}, handoverAtOnce)
+	slots := make(chan struct{}, maxHandovers)
 	for _, rec := range records {
 		if !rec.Repeatable {
-			continue // its call is on its way; only its answer can be waited for
+			continue // its call may have been sent, so it cannot run elsewhere; its answer can only be awaited
 		}
 		slots <- struct{}{}
 		r.wait.Go(func() {
 			defer func() { <-slots }()
-			r.handOverOne(ctx, rec)
+			r.handOverRecord(ctx, rec)
 		})
 	}
-	for range handoverAtOnce {
+	for range maxHandovers {
 		slots <- struct{}{}
 	}
 }
 
-func (r *Relay) handOverOne(ctx context.Context, rec *record.Record) {
-	s := r.snap()
-	targets := r.seconds(s, rec.ID)
+func (r *Relay) handOverRecord(ctx context.Context, rec *record.Record) {
+	s := r.snapshot()
+	targets := r.secondCopyCandidates(s, rec.ID)
 	if m, ok := s.Member(rec.Holder()); ok && m.Usable() {
 		targets = append(targets[:0:0], m)
-		targets = append(targets, r.seconds(s, rec.ID)...)
+		targets = append(targets, r.secondCopyCandidates(s, rec.ID)...)
 	}
 	for _, m := range targets {
 		call := &peerpb.Call{Body: &peerpb.Call_Handover{Handover: &peerpb.Handover{Record: peer.ToRecord(rec)}}}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -12,7 +12,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/route"
 )
 
-// newLimits returns the rate limits that endpoints name, which all instances keep together.
+// newLimits returns an empty table of the rate limits that endpoints announce. A limit applies to
+// the requests of all instances together.
 func newLimits(r *Relay) *ratelimit.Table {
 	return ratelimit.New(ratelimit.Options{
 		Self:      r.Self,
@@ -24,17 +25,18 @@
 	})
 }
 
-// liveInstances returns the IDs of the other instances that may send to endpoints.
+// liveInstances returns the IDs of the other instances that are not dead and so may send requests
+// to endpoints.
 func (r *Relay) liveInstances() []string {
-	return lo.FilterMap(r.snap().Members, func(m member.Member, _ int) (string, bool) { return m.ID, m.State != member.Dead })
+	return lo.FilterMap(r.snapshot().Members, func(m member.Member, _ int) (string, bool) { return m.ID, m.State != member.Dead })
 }
 
-// Limits returns the rate limits that endpoints name.
+// Limits returns the rate limits that endpoints have announced.
 func (r *Relay) Limits() *ratelimit.Table { return r.limits }
 
-// expireLimits drops what is known of endpoints that are gone.
+// expireLimits drops expired rate limits and those of endpoints that are no longer listed.
 func (r *Relay) expireLimits(now time.Time) {
-	s := r.snap()
+	s := r.snapshot()
 	listed := make(map[string]bool)
 	each := func(e *route.Endpoint) { listed[e.Key] = true }
 	s.Models.Each(each)
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -18,40 +18,42 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-const avoidMost = 3 // endpoints remembered as having failed a request
+const maxAvoided = 3 // most endpoints that a request avoids because it failed there last
 
-// modelPool returns the class of a model call and the endpoints that serve it.
+// modelPool returns the class of a model call and the endpoints that serve its model. The class is
+// set even when no endpoint serves the model.
 func (r *Relay) modelPool(rec *record.Record) (*table.Class, *route.Pool, error) {
 	class, err := r.class(rec)
 	if err != nil {
 		return nil, nil, err
 	}
-	pool := r.snap().Models[class.Model]
+	pool := r.snapshot().Models[class.Model]
 	if pool == nil || pool.Size == 0 {
 		return class, nil, fault.New(fault.StepRoute, "", fault.KindRefused, notRunIf(rec.Fresh && !rec.Sent()), "no endpoint serves model %s", class.Model).Retry(r.Clock.Now().Add(retryAfter))
 	}
 	return class, pool, nil
 }
 
-// routeRequest returns what routing has to know of a model call.
+// routeRequest returns the routing input for a model call.
 func (r *Relay) routeRequest(rec *record.Record, class *table.Class) *route.Request {
 	prompt := string(rec.Body)
 	return &route.Request{
 		Session: xxhash.Sum64String(rec.Session), Chain: prefix.Chain(class.Model, prompt),
 		Tokens: prefix.Tokens(prompt), Priority: rec.Priority, Target: class.Target,
-		Recompute: class.Recompute, Hall: r.Hall, Draw: r.draw(), Prefer: rec.Endpoint(), Limits: r.limits,
+		Recompute: class.Recompute, Hall: r.Hall, Draw: r.random(), Prefer: rec.Endpoint(), Limits: r.limits,
 	}
 }
 
-// runModel runs a model call until its whole answer is there, going on at
-// another endpoint whenever one breaks or leaves.
+// runModel runs a model call until its answer is complete, its deadline has passed or another
+// instance owns the record. When an endpoint fails or leaves, it resumes the call at another one.
+// req is the routing input, computed here if nil.
 func (r *Relay) runModel(ctx context.Context, a *run, req *route.Request) {
 	rec := a.rec
 	ctx, deadline := r.Clock.WithDeadline(ctx, rec.Deadline, context.DeadlineExceeded)
 	defer deadline.Stop()
 	pause := resumePauseMin
 	for {
-		if f := r.mayRun(rec); f != nil {
+		if f := r.checkQuarantine(rec); f != nil {
 			r.fail(rec, f)
 			return
 		}
@@ -60,7 +62,7 @@
 			req = r.routeRequest(rec, class)
 		}
 		if err == nil {
-			req.Draw = r.draw()
+			req.Draw = r.random()
 			before := rec.Position()
 			err = r.runOnce(ctx, a, pool, req)
 			if err == nil || errors.Is(err, errHandedOver) {
@@ -75,7 +77,7 @@
 			return
 		}
 		if !r.Clock.Now().Before(rec.Deadline) {
-			r.fail(rec, r.lateFailure(rec))
+			r.fail(rec, r.deadlineFailure(rec))
 			return
 		}
 		if errors.Is(err, errMoved) {
@@ -83,14 +85,16 @@
 		}
 		r.Metrics.Resume("broken")
 		select {
-		case <-time.After(pause + time.Duration(r.draw()%uint64(pause))):
+		case <-time.After(pause + time.Duration(r.random()%uint64(pause))):
 		case <-ctx.Done():
 		}
 		pause = min(2*pause, resumePauseMax)
 	}
 }
 
-func (r *Relay) lateFailure(rec *record.Record) *fault.Error {
+// deadlineFailure returns the error of a request whose deadline has passed, with whether it can have
+// run.
+func (r *Relay) deadlineFailure(rec *record.Record) *fault.Error {
 	run := fault.MayHaveRun
 	switch {
 	case rec.Position() > 0:
@@ -101,10 +105,12 @@
 	return fault.New(fault.StepDispatch, "", fault.KindTimeout, run, "the deadline passed").Retry(r.Clock.Now())
 }
 
-// runOnce runs the rest of a model call at one endpoint.
+// runOnce runs a model call at one endpoint, from the record's position on, until its answer is
+// complete or the run fails. The error is errMoved or errHandedOver if the run was cancelled for
+// that reason.
 func (r *Relay) runOnce(ctx context.Context, a *run, pool *route.Pool, req *route.Request) error {
 	rec := a.rec
-	d, ok := r.choose(a, pool, req)
+	d, ok := r.chooseEndpoint(a, pool, req)
 	if !ok {
 		return fault.New(fault.StepRoute, "", fault.KindRefused, fault.MayHaveRun, "no endpoint takes the request")
 	}
@@ -117,8 +123,8 @@
 	if rec.Owner() != r.Self {
 		return errHandedOver
 	}
-	if r.snap().Models[e.Model].Find(e.ID) != e {
-		return errMoved // it began to leave since it was chosen
+	if r.snapshot().Models[e.Model].Find(e.ID) != e {
+		return errMoved // the endpoint began to leave after it was chosen
 	}
 	if err := r.limits.Take(e.Key, r.Clock.Now()); err != nil {
 		return fault.New(fault.StepDispatch, e.ID, fault.KindLimit, fault.MayHaveRun, "send: %w", err)
@@ -132,22 +138,22 @@
 	e.Begin(d.Uncached)
 	defer e.End()
 	e.Blocks.Add(req.Chain...)
-	life := r.suspects.life(e)
+	incarnation := r.suspects.incarnation(e)
 	stream, err := r.Endpoints.Generate(ctx, e.Addr, &endpoint.Generate{
 		Request: rec.ID, Session: rec.Session, Prompt: string(rec.Body), MaxTokens: rec.MaxTokens,
 		Priority: rec.Priority, Seed: rec.Seed, ResumeFrom: from,
 	}, r.Observer(e))
 	if err == nil {
 		defer stream.Close()
-		err = r.read(rec, stream)
+		err = r.readStream(rec, stream)
 	}
-	r.ran(ctx, rec, e, life, err)
-	return r.judge(ctx, e, req, err)
+	r.recordRun(ctx, rec, e, incarnation, err)
+	return r.recordOutcome(ctx, e, req, err)
 }
 
-// choose takes the endpoint that a move has prepared, if it still takes work,
-// or asks the policy.
-func (r *Relay) choose(a *run, pool *route.Pool, req *route.Request) (route.Decision, bool) {
+// chooseEndpoint returns the endpoint that switchRun has set for the run, if that still accepts the
+// request, or else the choice of the routing policy.
+func (r *Relay) chooseEndpoint(a *run, pool *route.Pool, req *route.Request) (route.Decision, bool) {
 	r.runMu.Lock()
 	to := a.moveTo
 	a.moveTo = nil
@@ -156,12 +162,13 @@
 	if to != nil && pool.Find(to.ID) == to && req.Accepts(to, now) {
 		return route.Estimate(to, req, now), true
 	}
-	return r.routing(r.snap().Table.System.Policy).Choose(pool, req, now)
+	return r.routingPolicy(r.snapshot().Table.System.Policy).Choose(pool, req, now)
 }
 
-// Observer returns what takes an endpoint's word of itself in the answer to a request that is sent
-// now: one that leaves gets no new work, whether the list says so or not, one that asked for
-// rest gets no calls until its end, and one that names a rate limit gets no more than that.
+// Observer returns a function that applies the signals in the response to a request that is sent
+// now. An endpoint that is leaving gets no new requests, whether the instance list says so or not.
+// One that asked for a pause gets no calls until the pause ends. One that announces a rate limit
+// gets no more requests than that.
 func (r *Relay) Observer(e *route.Endpoint) endpoint.Observe {
 	sent := r.Clock.Now()
 	return func(n endpoint.Statement) {
@@ -180,9 +187,10 @@
 	}
 }
 
-// judge notes how an endpoint did. A stream that was cancelled on purpose says
-// nothing about it.
-func (r *Relay) judge(ctx context.Context, e *route.Endpoint, req *route.Request, err error) error {
+// recordOutcome records the outcome of a run for the endpoint's failure detection and for the request's
+// next routing decision. A run that was cancelled because the stream moves or was handed over does
+// not count.
+func (r *Relay) recordOutcome(ctx context.Context, e *route.Endpoint, req *route.Request, err error) error {
 	if cause := context.Cause(ctx); cause == errMoved || cause == errHandedOver {
 		return cause
 	}
@@ -198,14 +206,14 @@
 	}
 	req.Prefer = ""
 	req.Avoid = append(req.Avoid, e.ID)
-	if over := len(req.Avoid) - avoidMost; over > 0 {
+	if over := len(req.Avoid) - maxAvoided; over > 0 {
 		req.Avoid = req.Avoid[over:]
 	}
 	return err
 }
 
-// read appends the stream's tokens to the record.
-func (r *Relay) read(rec *record.Record, stream *endpoint.Stream) error {
+// readStream appends the tokens of a stream to the record and finishes the record after the last one.
+func (r *Relay) readStream(rec *record.Record, stream *endpoint.Stream) error {
 	for {
 		c, err := stream.Next()
 		if err != nil {
@@ -219,7 +227,7 @@
 				r.Metrics.FirstToken(rec.Class, r.Clock.Since(rec.Arrived))
 			}
 			if err := rec.Append(c.Index, c.Text); err != nil {
-				r.broken("positions only grow: "+err.Error(), rec)
+				r.logInvariantBroken("tokens are appended in order and never change: "+err.Error(), rec)
 				return fault.New(fault.StepStream, "", fault.KindInternal, fault.Ran, "%w", err)
 			}
 			r.markUpdated(rec)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,12 @@
-// Package relay takes accepted requests through to their whole answers.
+// Package relay runs accepted requests until their answers are complete.
 //
-// It places the second copy or the claim, runs the request at endpoints,
-// resumes it elsewhere when an endpoint breaks or leaves, lets callers follow
-// an answer from any entry instance, takes records over from dead owners, and
-// hands its own over when this instance leaves. Decisions come from the pure
-// packages; Relay is the shell that carries them out. It is safe for
+// Before it starts a request, it stores a second copy of the record at another
+// instance or, for a request that may not be repeated, claims its key. It runs
+// the request at endpoints, resumes it at another one when an endpoint fails or
+// leaves, and lets callers follow an answer from any entry instance. It takes
+// over the records of dead instances, and hands over its own when this instance
+// leaves. Decisions are made by packages without I/O (route, claim, drain,
+// quarantine, ratelimit), and Relay carries them out. Relay is safe for
 // concurrent use.
 package relay
 
@@ -42,22 +44,23 @@
 
 // Endpoints calls engines and services.
 type Endpoints interface {
-	// Look returns why no connection to an endpoint can be made, or nil.
-	Look(ctx context.Context, addr netip.AddrPort) error
+	// Probe returns nil if the endpoint answers an HTTP request, whatever its status, or else why it
+	// cannot be reached.
+	Probe(ctx context.Context, addr netip.AddrPort) error
 	Generate(ctx context.Context, addr netip.AddrPort, g *endpoint.Generate, hear endpoint.Observe) (*endpoint.Stream, error)
 	Import(ctx context.Context, addr netip.AddrPort, m endpoint.Import, hear endpoint.Observe) (endpoint.Export, error)
 	Call(ctx context.Context, addr netip.AddrPort, path, contentType, key string, body []byte, hear endpoint.Observe) (endpoint.ServiceAnswer, error)
 }
 
-// Control is the control goroutine as seen from traffic.
+// Control is the part of the control loop that the relay uses.
 type Control interface {
 	Snapshot() *control.Snapshot
 	Send(ctx context.Context, e control.Event)
 }
 
-// Options are what a relay is made of.
+// Options configure a Relay.
 type Options struct {
-	Self      string // node ID
+	Self      string // instance ID
 	Hall      string
 	Peers     Peers
 	Endpoints Endpoints
@@ -65,25 +68,25 @@
 	Log       *zap.Logger
 	Metrics   *metrics.Metrics
 	Clock     *clock.Clock // may be nil
-	Seed      uint64       // of the relay's random numbers
+	Seed      uint64       // seed of the relay's random numbers
 	Switches  Switches
 }
 
-// Switches turn single mechanisms off, to show in a test or a measurement
-// what each is for. In serving all are on.
+// Switches turn off single mechanisms, so that tests and measurements can show the effect of each.
+// The zero value, with all mechanisms on, is used in production.
 type Switches struct {
 	NoSecondCopy bool // accept without a second copy
 	NoClaim      bool // run requests that may not be repeated without a claim
-	NoTakeOver   bool // leave the records of dead owners alone
-	NoHandover   bool // leave without handing over
+	NoTakeOver   bool // do not take over the records of dead instances
+	NoHandover   bool // do not hand over records when leaving
 }
 
-// Relay carries requests.
+// Relay runs the requests of one entry instance. New makes one and Close ends it.
 type Relay struct {
 	Options
 	store  *record.Store
 	policy atomic.Pointer[namedPolicy]
-	ctx    context.Context // ends with the relay
+	ctx    context.Context // cancelled by Close
 	stop   context.CancelFunc
 	wait   sync.WaitGroup
 
@@ -97,7 +100,7 @@
 
 	runMu   sync.Mutex
 	runs    map[string]*run             // requests that run here; guarded by runMu
-	updated map[*record.Record]struct{} // records with news for their holder; guarded by runMu
+	updated map[*record.Record]struct{} // records with updates for the holder of their second copy; guarded by runMu
 
 	suspects *suspects
 	limits   *ratelimit.Table
@@ -105,23 +108,23 @@
 	retryMu sync.Mutex
 	retries map[string]*retryBudget // by class; guarded by retryMu
 
-	draining atomic.Bool // whether records are being handed over
+	draining atomic.Bool // set when this instance begins to leave: no new requests are accepted
 }
 
+// namedPolicy is the routing policy in use and the name by which the table selects it.
 type namedPolicy struct {
 	name   string
 	policy route.Policy
 }
 
-// run is a request that runs here.
+// run is a request that this instance runs now.
 type run struct {
 	rec      *record.Record
 	endpoint *route.Endpoint // guarded by Relay.runMu
 	cancel   context.CancelCauseFunc
-	moveTo   *route.Endpoint // where to go on after a move; guarded by Relay.runMu
+	moveTo   *route.Endpoint // endpoint for the next attempt, nil to let the policy choose; guarded by Relay.runMu
 }
 
-// New returns a relay.
 func New(o Options) *Relay {
 	r := &Relay{
 		Options: o, store: record.NewStore(), keeper: claim.NewKeeper(o.Self),
@@ -135,32 +138,32 @@
 	return r
 }
 
-// Close ends all that runs and waits for it.
+// Close cancels all runs and background calls and waits for them.
 func (r *Relay) Close() {
 	r.stop()
 	r.wait.Wait()
 }
 
-// Store returns the records.
+// Store returns the records that this instance owns or keeps a second copy of.
 func (r *Relay) Store() *record.Store { return r.store }
 
-// Claims returns the number of claims kept here.
+// Claims returns the number of claims that this instance holds as a keeper.
 func (r *Relay) Claims() int {
 	r.keeperMu.Lock()
 	defer r.keeperMu.Unlock()
 	return r.keeper.Len()
 }
 
-// KeeperReady reports whether this instance knows the claims it keeps.
+// KeeperReady reports whether this instance, as a keeper, knows the claims of all its shards.
 func (r *Relay) KeeperReady() bool {
 	r.keeperMu.Lock()
 	defer r.keeperMu.Unlock()
 	return r.keeper.Ready()
 }
 
-func (r *Relay) snap() *control.Snapshot { return r.Control.Snapshot() }
+func (r *Relay) snapshot() *control.Snapshot { return r.Control.Snapshot() }
 
-func (r *Relay) draw() uint64 {
+func (r *Relay) random() uint64 {
 	r.rndMu.Lock()
 	defer r.rndMu.Unlock()
 	return r.rnd.Uint64()
@@ -171,12 +174,12 @@
 	r.Metrics.Event(int(c))
 }
 
-// broken reports a broken promise.
-func (r *Relay) broken(what string, rec *record.Record) {
+// logInvariantBroken logs that an invariant does not hold for a record.
+func (r *Relay) logInvariantBroken(what string, rec *record.Record) {
 	r.event(event.InvariantBroken, zap.String("invariant", what), zap.String("request", rec.ID))
 }
 
-func (r *Relay) routing(name string) route.Policy {
+func (r *Relay) routingPolicy(name string) route.Policy {
 	p := r.policy.Load()
 	if p.name != name {
 		p = &namedPolicy{name, route.New(name)}
@@ -185,40 +188,40 @@
 	return p.policy
 }
 
-// retryAfter is when a refused caller should come back.
+// retryAfter is the usual time after which a refused caller should try again.
 const retryAfter = time.Second
 
-// Submit accepts a request and starts it, or attaches to the one that already
-// has its id. After it returns nil, Follow gives the answer. An error says
-// that the request was refused.
+// Submit accepts a request and starts it, or does nothing if the same request is already known
+// under its id, here or at another instance. After it returns nil, Follow gives the answer. An
+// error means that the request was refused.
 func (r *Relay) Submit(ctx context.Context, req record.Request) error {
 	now := r.Clock.Now()
 	if old, ok := r.store.Get(req.ID); ok {
-		return sameRequest(old.Digest, req)
+		return checkSameRequest(old.Digest, req)
 	}
-	s := r.snap()
+	s := r.snapshot()
 	if s.Leaving || r.draining.Load() {
-		return fault.New(fault.StepAdmit, "", fault.KindRefused, notRunIf(req.Fresh), "this instance is leaving; ask another").Retry(now)
+		return fault.New(fault.StepAdmit, "", fault.KindRefused, notRunIf(req.Fresh), "this instance is leaving; use another one").Retry(now)
 	}
 	if r.store.Len() >= s.Table.System.Records {
-		return fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(req.Fresh), "too many requests are held").Retry(now.Add(retryAfter))
+		return fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(req.Fresh), "the limit of stored requests is reached").Retry(now.Add(retryAfter))
 	}
 	if !now.Before(req.Deadline) {
 		return fault.New(fault.StepAdmit, "", fault.KindTimeout, notRunIf(req.Fresh), "the deadline has passed")
 	}
-	if !req.Fresh && req.Repeatable { // a claim finds earlier attempts by itself
+	if !req.Fresh && req.Repeatable { // for other requests, the claim finds earlier attempts
 		if where, ok := r.locate(ctx, req.ID); ok {
-			return sameRequest(where.digest, req)
+			return checkSameRequest(where.digest, req)
 		}
 	}
 	rec, added := r.store.Add(record.New(req, r.Self))
 	if !added {
-		return sameRequest(rec.Digest, req)
+		return checkSameRequest(rec.Digest, req)
 	}
 	err := r.accept(ctx, rec)
 	if err == errTaken {
 		r.store.Remove(rec)
-		rec.SetOwner("") // who follows it looks for the other attempt
+		rec.SetOwner("") // followers of this record then locate the other attempt
 		return nil
 	}
 	if err != nil {
@@ -229,20 +232,21 @@
 	return nil
 }
 
-// accept places the second copy or wins the claim and starts the request.
+// accept stores the second copy of a repeatable request, or claims the key of another one, and
+// starts the request.
 func (r *Relay) accept(ctx context.Context, rec *record.Record) error {
 	if !rec.Repeatable {
-		return r.acceptOnce(ctx, rec)
+		return r.acceptWithClaim(ctx, rec)
 	}
 	var req *route.Request
 	if rec.Kind == record.KindModel {
 		var err error
-		if req, err = r.canMakeIt(rec); err != nil {
+		if req, err = r.checkAdmission(rec); err != nil {
 			return err
 		}
 	}
 	if !r.Switches.NoSecondCopy {
-		if err := r.placeSecond(ctx, rec); err != nil {
+		if err := r.placeSecondCopy(ctx, rec); err != nil {
 			return err
 		}
 	}
@@ -250,45 +254,47 @@
 	return nil
 }
 
-// canMakeIt refuses at once a model call that no endpoint would begin to
-// answer before its deadline. It returns what routing has to know of the call.
-func (r *Relay) canMakeIt(rec *record.Record) (*route.Request, error) {
+// checkAdmission refuses a model call that, at the endpoint that routing would choose now, would miss
+// its class's target for the first token by too much (see shed) or its deadline for the whole
+// answer. It returns the routing input for the call.
+func (r *Relay) checkAdmission(rec *record.Record) (*route.Request, error) {
 	now := r.Clock.Now()
 	class, pool, err := r.modelPool(rec)
 	if err != nil {
 		return nil, err
 	}
 	req := r.routeRequest(rec, class)
-	d, ok := r.routing(r.snap().Table.System.Policy).Choose(pool, req, now)
+	d, ok := r.routingPolicy(r.snapshot().Table.System.Policy).Choose(pool, req, now)
 	if !ok {
 		return nil, fault.New(fault.StepRoute, "", fault.KindRefused, notRunIf(rec.Fresh), "no endpoint serves the model").Retry(now.Add(retryAfter))
 	}
 	if wait, late := shed(rec, class, d); late {
-		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.Fresh), "it could not be answered by its target").Retry(now.Add(max(wait, retryAfter)))
+		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.Fresh), "the answer would start later than the target of its class allows").Retry(now.Add(max(wait, retryAfter)))
 	}
 	end := now.Add(d.FirstToken + time.Duration(rec.MaxTokens)*d.Endpoint.Load().Step)
 	if end.After(rec.Deadline) {
 		wait := min(end.Sub(rec.Deadline), time.Minute)
-		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.Fresh), "it could not be answered by its deadline").Retry(now.Add(max(wait, retryAfter)))
+		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.Fresh), "the answer would not be complete by its deadline").Retry(now.Add(max(wait, retryAfter)))
 	}
 	return req, nil
 }
 
-// overShare is the share of its target that a call of an account over its fair
-// share may wait; the rest is kept for the other accounts.
-const overShare = 0.5
+// overShareWaitFraction is the fraction of the target latency that a call may wait in the queue if its client
+// account is over its fair share. The rest is reserved for the other client accounts.
+const overShareWaitFraction = 0.5
 
-// shed reports whether a call would come too late to be worth running, and by
-// how much.
+// shed reports whether a call is to be refused because its first token would come too late, and by
+// how much it would be late. Classes that may be late are never shed. A call that would hardly wait
+// is not shed either, however late it is.
 func shed(rec *record.Record, class *table.Class, d route.Decision) (by time.Duration, late bool) {
 	if class.MayBeLate {
 		return 0, false
 	}
 	limit := class.Target
 	if rec.OverShare {
-		limit = time.Duration(overShare * float64(class.Target))
+		limit = time.Duration(overShareWaitFraction * float64(class.Target))
 	}
-	// What the call itself needs cannot be waited away.
+	// The time to compute the call's own prompt is not queueing and does not shrink by retrying later.
 	wait := d.FirstToken - time.Duration(d.Uncached)*d.Endpoint.Load().PerToken
 	if d.FirstToken <= class.Target && wait <= limit {
 		return 0, false
@@ -296,8 +302,9 @@
 	return max(d.FirstToken-class.Target, wait-limit), wait > d.Endpoint.Load().Step
 }
 
-// notRunIf returns NotRun for a request that cannot have been tried before.
-// For a key that the caller chose, an earlier attempt may exist elsewhere.
+// notRunIf returns NotRun if the request's id was made by the system, so that no earlier attempt can
+// exist, and MayHaveRun if the caller chose it: an earlier attempt may have run at another
+// instance.
 func notRunIf(fresh bool) fault.Run {
 	if fresh {
 		return fault.NotRun
@@ -305,15 +312,15 @@
 	return fault.MayHaveRun
 }
 
-func sameRequest(digest uint64, req record.Request) error {
+func checkSameRequest(digest uint64, req record.Request) error {
 	if digest != req.Digest {
 		return fault.New(fault.StepAdmit, "", fault.KindConflict, fault.NotRun, "the Idempotency-Key is in use for another request")
 	}
 	return nil
 }
 
-// Digest returns the hash of what a caller asked for, by which a repeat under
-// the same key is told from another request.
+// Digest returns a hash of the parts of a request. It distinguishes a repeat of a request from
+// another request under the same Idempotency-Key.
 func Digest(parts ...[]byte) uint64 {
 	d := xxhash.New()
 	var n [8]byte
@@ -326,7 +333,7 @@
 }
 
 func (r *Relay) class(rec *record.Record) (*table.Class, error) {
-	c, ok := r.snap().Table.ClassNamed(rec.Class)
+	c, ok := r.snapshot().Table.ClassNamed(rec.Class)
 	if !ok {
 		return nil, fault.New(fault.StepRoute, "", fault.KindNotFound, notRunIf(rec.Fresh && !rec.Sent()), "class %s is no longer in the table", rec.Class)
 	}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -14,34 +14,35 @@
 	"github.com/shelfcrank/shelfcrank/internal/route"
 )
 
-// Causes for which a run stops before its end.
+// Causes of the cancellation of a run.
 var (
-	errMoved      = errors.New("the stream moves to another endpoint")
-	errHandedOver = errors.New("the record has another owner")
+	errMoved      = errors.New("the stream is moving to another endpoint")
+	errHandedOver = errors.New("the record is owned by another instance")
 )
 
-// Pauses between two tries of a run; the second doubles up to the most.
+// Pauses between two attempts of a run. The pause of model calls doubles from the first to the
+// second and is jittered; that of service calls stays at the first.
 const (
 	resumePauseMin = 20 * time.Millisecond
 	resumePauseMax = 500 * time.Millisecond
 )
 
-// start runs a record that this instance owns. req is what routing has to know
-// of a model call, if that was worked out before; it spares hashing the prompt
-// again.
+// start runs a record that this instance owns, in the background. req is the routing input for a
+// model call if it was computed before, which saves hashing the prompt again; it may be nil. If an
+// earlier run of a repeatable record has not ended yet, the new one starts after it.
 func (r *Relay) start(rec *record.Record, req *route.Request) {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	a := &run{rec: rec, cancel: cancel}
 	r.runMu.Lock()
-	_, twice := r.runs[rec.ID]
-	if !twice {
+	_, running := r.runs[rec.ID]
+	if !running {
 		r.runs[rec.ID] = a
 	}
 	r.runMu.Unlock()
-	if twice {
+	if running {
 		cancel(nil)
 		if !rec.Repeatable {
-			r.broken("one runner for a request that may not be repeated", rec)
+			r.logInvariantBroken("a request that may not be repeated has one run at a time", rec)
 			return
 		}
 		r.wait.Go(func() { r.startAgain(rec) })
@@ -60,7 +61,8 @@
 	})
 }
 
-// startAgain runs a record that came back while its earlier run was ending.
+// startAgain starts a record after a pause, if this instance still owns it. It is for a record that
+// came back to this instance while its earlier run was ending.
 func (r *Relay) startAgain(rec *record.Record) {
 	select {
 	case <-time.After(resumePauseMin):
@@ -72,7 +74,7 @@
 	}
 }
 
-// running returns the runs for which keep is true.
+// running returns the current runs for which keep is true.
 func (r *Relay) running(keep func(*run) bool) []*run {
 	r.runMu.Lock()
 	defer r.runMu.Unlock()
@@ -85,12 +87,13 @@
 	return out
 }
 
-// finish ends a record. It keeps the promise that "not run" is never said of a
-// request of which bytes may have left.
+// finish ends a record with a result and passes the result on. "Not run" is never reported for a
+// request of which bytes may have been sent: such a result is changed to "may have run" and logged
+// as a broken invariant.
 func (r *Relay) finish(rec *record.Record, res record.Result) {
 	if f := res.Failure; f != nil {
 		if f.Run == fault.NotRun && (rec.Sent() || rec.Position() > 0) {
-			r.broken("not_run is said only when it is certain", rec)
+			r.logInvariantBroken("not_run is reported only when it is certain", rec)
 			f.Run = fault.MayHaveRun
 		}
 		r.event(event.RequestFailed, zap.String("request", rec.ID), zap.String("run", f.Run.String()), zap.Error(f))
@@ -107,17 +110,17 @@
 	case rec.Repeatable:
 		r.markUpdated(rec)
 	case res.Failure != nil && res.Failure.Run == fault.NotRun:
-		r.giveBack(rec) // nothing ran: a repeat may try again
+		r.releaseUnsent(rec) // nothing was sent, so a repeat may run
 	default:
 		r.publishResult(rec)
 	}
 }
 
-// giveBack releases the claim of a request of which nothing was sent.
-func (r *Relay) giveBack(rec *record.Record) {
-	if s := r.snap(); s.View != nil && rec.Attempt() != "" {
+// releaseUnsent releases the claim of a request of which nothing was sent, and removes its record.
+func (r *Relay) releaseUnsent(rec *record.Record) {
+	if s := r.snapshot(); s.View != nil && rec.Attempt() != "" {
 		group := s.View.Group(claim.ShardOf(rec.ID))
-		r.release(rec, group, rec.Attempt(), rec.Deadline.Add(s.Table.System.Retention))
+		r.releaseVotes(rec, group, rec.Attempt(), rec.Deadline.Add(s.Table.System.Retention))
 	}
 	r.store.Remove(rec)
 }
--- a/internal/relay/service.go
+++ b/internal/relay/service.go
@@ -15,8 +15,9 @@
 
 const statusOK = 200
 
-// runService runs a service call: once if it may not be repeated, else until
-// an endpoint answers or the retry budget or the time is used up.
+// runService runs a service call until an endpoint answers, the retry budget is used up or the
+// deadline has passed. A call that may not be repeated is tried again only if the failed attempt
+// certainly did not run.
 func (r *Relay) runService(ctx context.Context, a *run) {
 	rec := a.rec
 	ctx, deadline := r.Clock.WithDeadline(ctx, rec.Deadline, context.DeadlineExceeded)
@@ -27,11 +28,11 @@
 		return
 	}
 	budget := r.retryBudget(class)
-	budget.first()
+	budget.recordFirstAttempt()
 	name, path := splitTarget(rec.Target)
 	req := &route.Request{Hall: r.Hall, Priority: rec.Priority, Limits: r.limits}
 	for {
-		req.Draw = r.draw()
+		req.Draw = r.random()
 		err := r.callOnce(ctx, rec, name, path, req)
 		if err == nil {
 			return
@@ -40,13 +41,13 @@
 		mayRepeat := rec.Repeatable || f.Run == fault.NotRun
 		switch {
 		case ctx.Err() != nil && !r.Clock.Now().Before(rec.Deadline):
-			r.fail(rec, r.lateFailure(rec))
+			r.fail(rec, r.deadlineFailure(rec))
 			return
 		case !mayRepeat:
 			r.event(event.OutcomeUnknown, zap.String("request", rec.ID), zap.Error(f))
 			r.fail(rec, f)
 			return
-		case !budget.retry():
+		case !budget.takeRetry():
 			r.fail(rec, f.Retry(r.Clock.Now().Add(retryAfter)))
 			return
 		}
@@ -57,20 +58,21 @@
 	}
 }
 
-// callOnce makes one call at one endpoint.
+// callOnce chooses an endpoint, sends it the call and finishes the record with its answer. It adds
+// an endpoint that failed to req.Avoid.
 func (r *Relay) callOnce(ctx context.Context, rec *record.Record, name, path string, req *route.Request) error {
-	pool := r.snap().Services[name]
+	pool := r.snapshot().Services[name]
 	if pool == nil {
 		pool = route.NewPool(name)
 	}
 	now := r.Clock.Now()
 	d, ok := route.ServicePolicy{}.Choose(pool, req, now)
 	if !ok {
-		return fault.New(fault.StepRoute, "", fault.KindRefused, r.notSent(rec), "no endpoint serves %s", name)
+		return fault.New(fault.StepRoute, "", fault.KindRefused, r.runIfUnsent(rec), "no endpoint serves %s", name)
 	}
 	e := d.Endpoint
 	if err := r.limits.Take(e.Key, now); err != nil {
-		return fault.New(fault.StepDispatch, e.ID, fault.KindLimit, r.notSent(rec), "send: %w", err)
+		return fault.New(fault.StepDispatch, e.ID, fault.KindLimit, r.runIfUnsent(rec), "send: %w", err)
 	}
 	rec.SetEndpoint(e.ID)
 	e.Begin(0)
@@ -93,7 +95,7 @@
 		}
 		req.Avoid = append(req.Avoid, e.ID)
 		if f.Run == fault.NotRun {
-			f.Run = r.notSent(rec)
+			f.Run = r.runIfUnsent(rec)
 		}
 		return f
 	}
@@ -104,8 +106,9 @@
 	return nil
 }
 
-// notSent says what is known of a call of which this run sent nothing.
-func (r *Relay) notSent(rec *record.Record) fault.Run {
+// runIfUnsent returns whether a call can have run of which the current attempt sent nothing: an earlier
+// attempt may have sent it.
+func (r *Relay) runIfUnsent(rec *record.Record) fault.Run {
 	if rec.Sent() {
 		return fault.MayHaveRun
 	}
@@ -121,35 +124,36 @@
 	return target, ""
 }
 
-// retryBudget bounds retries to a share of the first tries, so that a fault
-// cannot multiply the load.
+// retryBudget limits the retries of a class to a share of its first attempts, so that failures
+// cannot multiply the load. It holds a credit: each first attempt adds the share, up to
+// maxRetryCredit, and each retry takes 1.
 type retryBudget struct {
 	r      *Relay
 	share  float64
 	credit float64 // guarded by Relay.retryMu
 }
 
-const retryCreditMost = 20
+const maxRetryCredit = 20
 
 func (r *Relay) retryBudget(c *table.Class) *retryBudget {
 	r.retryMu.Lock()
 	defer r.retryMu.Unlock()
 	b, ok := r.retries[c.Name]
 	if !ok {
-		b = &retryBudget{r: r, credit: retryCreditMost}
+		b = &retryBudget{r: r, credit: maxRetryCredit}
 		r.retries[c.Name] = b
 	}
 	b.share = c.RetryShare
 	return b
 }
 
-func (b *retryBudget) first() {
+func (b *retryBudget) recordFirstAttempt() {
 	b.r.retryMu.Lock()
 	defer b.r.retryMu.Unlock()
-	b.credit = min(b.credit+b.share, retryCreditMost)
+	b.credit = min(b.credit+b.share, maxRetryCredit)
 }
 
-func (b *retryBudget) retry() bool {
+func (b *retryBudget) takeRetry() bool {
 	b.r.retryMu.Lock()
 	defer b.r.retryMu.Unlock()
 	if b.credit < 1 {
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -20,58 +20,59 @@
 )
 
 const (
-	mostSuspects   = 4096
-	mostLives      = 4096 // endpoints that were seen to end
-	quarantineFor  = time.Minute
-	suspectTimeout = 400 * time.Millisecond // for an update to arrive
-	lookTimeout    = 200 * time.Millisecond // for a look whether an endpoint has ended
+	maxSuspects          = 4096
+	maxIncarnationCounts = 4096 // endpoints whose ended incarnations are counted
+	quarantineDuration   = time.Minute
+	suspectsCallTimeout  = 400 * time.Millisecond // for a call that sends an update to another instance
+	probeTimeout         = 200 * time.Millisecond // for the probe whether an endpoint has ended
 )
 
-// suspects knows the model requests under which endpoints end, at this instance or another
-// one. It is safe for concurrent use.
+// suspects holds the model requests that are suspected of crashing endpoints, because endpoints
+// ended while they ran, at this instance or another one. It is safe for concurrent use.
 type suspects struct {
 	table *quarantine.Table
 
-	mu    sync.Mutex
-	lives map[string]int // of each endpoint, by its id: how often it was seen to end; guarded by mu
+	mu   sync.Mutex
+	ends map[string]int // number of ends that were seen of each endpoint, by its id; guarded by mu
 }
 
 func newSuspects() *suspects {
 	return &suspects{
-		table: quarantine.New(quarantine.Options{Length: quarantineFor, Most: mostSuspects}),
-		lives: make(map[string]int),
+		table: quarantine.New(quarantine.Options{Length: quarantineDuration, Most: maxSuspects}),
+		ends:  make(map[string]int),
 	}
 }
 
-// life returns a name for the present incarnation of an endpoint.
-func (s *suspects) life(e *route.Endpoint) string {
+// incarnation returns an id for the current incarnation of an endpoint. Incarnations are counted by the
+// ends that this instance has seen.
+func (s *suspects) incarnation(e *route.Endpoint) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lifeLocked(e)
+	return s.incarnationLocked(e)
 }
 
-// lifeLocked is life for a caller that holds mu.
-func (s *suspects) lifeLocked(e *route.Endpoint) string {
-	return fmt.Sprintf("%s/%d", e.ID, s.lives[e.ID])
+// incarnationLocked is incarnation for a caller that holds mu.
+func (s *suspects) incarnationLocked(e *route.Endpoint) string {
+	return fmt.Sprintf("%s/%d", e.ID, s.ends[e.ID])
 }
 
-// over notes that the present incarnation of an endpoint has ended, unless another one is by
-// now.
-func (s *suspects) over(e *route.Endpoint, life string) {
+// recordEnd records that an incarnation of an endpoint has ended, unless it is no longer the current
+// one.
+func (s *suspects) recordEnd(e *route.Endpoint, incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lifeLocked(e) == life {
-		s.lives[e.ID]++
+	if s.incarnationLocked(e) == incarnation {
+		s.ends[e.ID]++
 	}
 }
 
-// expire drops what no longer matters.
+// expire drops expired suspects, and all incarnation counts when there are too many.
 func (s *suspects) expire(now time.Time) {
 	s.table.Expire(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.lives) > mostLives {
-		clear(s.lives)
+	if len(s.ends) > maxIncarnationCounts {
+		clear(s.ends)
 	}
 }
 
@@ -79,14 +80,15 @@
 	return quarantine.Of("model", rec.Class, "", rec.Body)
 }
 
-// knows reports whether a request may be under suspicion, without working out its fingerprint.
-func (s *suspects) knows(rec *record.Record) bool {
+// maybeSuspect reports whether a request may be a suspect, by its length alone: computing the fingerprint
+// of a long body is expensive.
+func (s *suspects) maybeSuspect(rec *record.Record) bool {
 	return s.table.Knows(quarantine.Length("model", rec.Class, "", rec.Body))
 }
 
-// mayRun says why a request may not run now, or nil.
-func (r *Relay) mayRun(rec *record.Record) *fault.Error {
-	if !r.suspects.knows(rec) {
+// checkQuarantine returns an error if a request is quarantined and may not run now, else nil.
+func (r *Relay) checkQuarantine(rec *record.Record) *fault.Error {
+	if !r.suspects.maybeSuspect(rec) {
 		return nil
 	}
 	verdict, until := r.suspects.table.Verdict(fingerprint(rec), r.Clock.Now())
@@ -97,47 +99,52 @@
 	if !rec.Sent() {
 		run = notRunIf(rec.Fresh)
 	}
-	return fault.New(fault.StepDispatch, "", fault.KindRefused, run, "endpoints end under this request").Retry(until)
+	return fault.New(fault.StepDispatch, "", fault.KindRefused, run, "quarantined: endpoints ended while they ran this request").Retry(until)
 }
 
-// ran takes note how a run of a request at an incarnation of an endpoint ended.
-func (r *Relay) ran(ctx context.Context, rec *record.Record, e *route.Endpoint, life string, err error) {
+// recordRun records how the run of a request at an incarnation of an endpoint ended, for the detection of
+// requests that crash endpoints. A run that was cancelled here does not count, and a refused
+// connection means that the endpoint's process has ended.
+func (r *Relay) recordRun(ctx context.Context, rec *record.Record, e *route.Endpoint, incarnation string, err error) {
 	switch {
 	case err == nil:
-		r.cameThrough(rec, life)
+		r.runCompleted(rec, incarnation)
 	case ctx.Err() != nil:
 	case errors.Is(err, syscall.ECONNREFUSED):
-		r.endpointEnded(e, life)
+		r.endpointEnded(e, incarnation)
 	case fault.As(err).Kind == fault.KindBroken:
-		run := quarantine.Run{Fingerprint: fingerprint(rec), Endpoint: life, Name: e.ID, Account: rec.Account}
+		run := quarantine.Run{Fingerprint: fingerprint(rec), Endpoint: incarnation, Name: e.ID, Account: rec.Account}
 		r.broadcastSuspects(r.suspects.table.Broke(run, r.Clock.Now()))
 		if r.hasEnded(ctx, e) {
-			r.endpointEnded(e, life)
+			r.endpointEnded(e, incarnation)
 		}
 	}
 }
 
-// endpointEnded takes note that an incarnation of an endpoint has ended.
-func (r *Relay) endpointEnded(e *route.Endpoint, life string) {
-	r.suspects.over(e, life)
-	r.broadcastSuspects(r.suspects.table.EndpointEnded(life, r.Clock.Now()))
+// endpointEnded records that an incarnation of an endpoint has ended, and broadcasts the suspects
+// that this changes.
+func (r *Relay) endpointEnded(e *route.Endpoint, incarnation string) {
+	r.suspects.recordEnd(e, incarnation)
+	r.broadcastSuspects(r.suspects.table.EndpointEnded(incarnation, r.Clock.Now()))
 }
 
-// hasEnded looks whether an endpoint's process has ended: its address refuses connections.
+// hasEnded probes whether an endpoint's process has ended, which is so if its address refuses
+// connections.
 func (r *Relay) hasEnded(ctx context.Context, e *route.Endpoint) bool {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return errors.Is(r.Endpoints.Look(ctx, e.Addr), syscall.ECONNREFUSED)
+	return errors.Is(r.Endpoints.Probe(ctx, e.Addr), syscall.ECONNREFUSED)
 }
 
-// cameThrough takes note that an endpoint answered a request whole.
-func (r *Relay) cameThrough(rec *record.Record, life string) {
-	if r.suspects.knows(rec) {
-		r.broadcastSuspects(r.suspects.table.CameThrough(fingerprint(rec), life, r.Clock.Now()))
+// runCompleted records that an endpoint answered a request completely, which clears a suspect.
+func (r *Relay) runCompleted(rec *record.Record, incarnation string) {
+	if r.suspects.maybeSuspect(rec) {
+		r.broadcastSuspects(r.suspects.table.CameThrough(fingerprint(rec), incarnation, r.Clock.Now()))
 	}
 }
 
-// broadcastSuspects logs changes and tells the other instances.
+// broadcastSuspects logs changes of suspects and sends the pending updates to all other instances
+// in the background.
 func (r *Relay) broadcastSuspects(changes []quarantine.Change) {
 	for _, c := range changes {
 		f := zap.Stringer("fingerprint", c.Suspect.Fingerprint)
@@ -150,27 +157,28 @@
 			r.event(event.QuarantineOver, f, zap.String("server", c.Endpoint))
 		}
 	}
-	own, heard := r.suspects.table.Updates()
-	if len(own)+len(heard) == 0 {
+	own, received := r.suspects.table.Updates()
+	if len(own)+len(received) == 0 {
 		return
 	}
-	news := &peerpb.Suspects{Suspects: wire.Encode(own, r.Clock.Now())}
-	for _, m := range r.snap().Members {
+	update := &peerpb.Suspects{Suspects: wire.Encode(own, r.Clock.Now())}
+	for _, m := range r.snapshot().Members {
 		if m.ID == r.Self {
 			continue
 		}
 		r.wait.Go(func() {
-			ctx, cancel := context.WithTimeout(r.ctx, suspectTimeout)
+			ctx, cancel := context.WithTimeout(r.ctx, suspectsCallTimeout)
 			defer cancel()
-			call := &peerpb.Call{Body: &peerpb.Call_Suspects{Suspects: news}} // a call belongs to its caller
-			_, _ = r.Peers.Call(ctx, m.Addr, call)                            // an instance that misses it counts for itself
+			call := &peerpb.Call{Body: &peerpb.Call_Suspects{Suspects: update}} // one message per call, since the peer client sets fields of it
+			_, _ = r.Peers.Call(ctx, m.Addr, call)                              // no retry: an instance that misses the update still counts the ends that it sees itself
 		})
 	}
 }
 
-// applySuspects takes the update of another instance, which sent it to all, and passes nothing on.
-func (r *Relay) applySuspects(news []*peerpb.Suspect) {
+// applySuspects applies the update of another instance. It forwards nothing, since the sender sends
+// its updates to all instances.
+func (r *Relay) applySuspects(update []*peerpb.Suspect) {
 	now := r.Clock.Now()
-	r.suspects.table.Apply(wire.Decode(news, now), now)
+	r.suspects.table.Apply(wire.Decode(update, now), now)
 	r.suspects.table.Updates()
 }
--- a/internal/relay/upkeep.go
+++ b/internal/relay/upkeep.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	pushInterval = 50 * time.Millisecond
-	expireEvery  = 2 * time.Second
+	pushInterval   = 50 * time.Millisecond
+	expireInterval = 2 * time.Second
 )
 
-// markUpdated marks a record as having news for the holder of its second copy.
+// markUpdated marks a record as having updates for the holder of its second copy. PushUpdates sends
+// them.
 func (r *Relay) markUpdated(rec *record.Record) {
 	r.runMu.Lock()
 	r.updated[rec] = struct{}{}
 	r.runMu.Unlock()
 }
 
-// PushUpdates brings second copies up to date until ctx ends: for each holder one
-// message with the updates of all records.
+// PushUpdates sends the updates of records to the holders of their second copies until ctx ends,
+// at each interval one message per holder.
 func (r *Relay) PushUpdates(ctx context.Context) error {
 	t := time.NewTicker(pushInterval)
 	defer t.Stop()
@@ -51,12 +52,12 @@
 
 func (r *Relay) pushOnce(ctx context.Context) {
 	r.runMu.Lock()
-	fresh := r.updated
+	records := r.updated
 	r.updated = make(map[*record.Record]struct{})
 	r.runMu.Unlock()
 	updates := make(map[string][]*peerpb.Update)
 	sent := make(map[string][]sentUpdate)
-	for rec := range fresh {
+	for rec := range records {
 		n, any := rec.Unreported()
 		holder := rec.Holder()
 		if !any || holder == "" || rec.Owner() != r.Self {
@@ -71,7 +72,7 @@
 }
 
 func (r *Relay) pushTo(ctx context.Context, holder string, updates []*peerpb.Update, sent []sentUpdate) {
-	m, ok := r.snap().Member(holder)
+	m, ok := r.snapshot().Member(holder)
 	if !ok {
 		return
 	}
@@ -85,9 +86,9 @@
 	}
 }
 
-// Expire forgets records and claims whose time has passed, until ctx ends.
+// Expire removes expired records, claims, suspects and rate limits, until ctx ends.
 func (r *Relay) Expire(ctx context.Context) error {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -95,7 +96,7 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		s := r.snap()
+		s := r.snapshot()
 		if s.Table == nil {
 			continue
 		}
@@ -111,8 +112,8 @@
 	}
 }
 
-// Act carries out the effects of control that concern requests.
-func (r *Relay) Act(e control.Effect) {
+// ApplyEffect handles the effects of the control loop that concern requests.
+func (r *Relay) ApplyEffect(e control.Effect) {
 	switch e := e.(type) {
 	case control.ViewInForce:
 		r.InstallView(e.View)
@@ -125,8 +126,9 @@
 	}
 }
 
-// memberChanged takes over what a dead owner ran, and replaces the second
-// copies that a dead or leaving instance held.
+// memberChanged takes over the records that a dead instance owned and this one holds, and replaces
+// the second copies that a dead or leaving instance held. Requests that may not be repeated are not
+// taken over.
 func (r *Relay) memberChanged(c member.Change) {
 	m := c.Member
 	if m.State == member.Dead && !r.Switches.NoTakeOver {
@@ -145,11 +147,12 @@
 		return rec.Owner() == r.Self && rec.Holder() == m.ID && rec.Repeatable && !rec.Fetched()
 	})
 	for _, rec := range held {
-		r.replaceSecond(rec)
+		r.replaceSecondCopy(rec)
 	}
 }
 
-// FetchFrom takes the table and the view from a peer that is ahead.
+// FetchFrom fetches the table and the view from a peer that has newer ones, and passes them to the
+// control loop.
 func (r *Relay) FetchFrom(addr netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(r.ctx, holdTimeout)
 	defer cancel()
