--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,9 +1,10 @@
-// Package entry puts an entry instance together and runs it.
+// Package entry wires and runs an entry instance.
 //
-// The parts are wired by an injector and run under a supervisor tree: control,
-// the platform's watchers, peers, upkeep of requests, and the HTTP server. A
-// part that fails is restarted with backoff; a control goroutine that hangs is
-// noticed by a watchdog.
+// A dependency injector builds the parts. A supervisor tree runs the clock, the
+// control loop, the watchers of the platform, the peer connections and the
+// background tasks for requests, and restarts a task that fails, with backoff.
+// A watchdog reports a control loop that hangs. The HTTP server for callers
+// runs outside the tree.
 package entry
 
 import (
@@ -37,49 +38,49 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Options are what an entry instance is made of.
+// Options configure an entry instance.
 type Options struct {
 	Settings  settings.Serve
 	Net       netx.Network
 	Log       *zap.Logger
-	Seed      uint64       // of the random numbers
-	CallerTLS *tls.Config  // nil for plain text
-	PeerTLS   *tls.Config  // nil for plain text
+	Seed      uint64       // seed of the random numbers
+	CallerTLS *tls.Config  // for the callers' listener; nil for plain text
+	PeerTLS   *tls.Config  // for connections between entry instances; nil for plain text
 	Clock     *clock.Clock // may be nil
 	Switches  relay.Switches
 }
 
-// Instance is an entry instance.
+// Instance is an entry instance. New makes one and Run serves with it.
 type Instance struct {
-	opts      Options
-	id        string
-	injector  do.Injector
-	loop      *control.Loop
-	peers     *peer.Instance
-	relay     *relay.Relay
-	gateway   *gateway.Gateway
-	store     *kv.Client
-	editor    *table.Editor
-	platform  *platform.Client
-	endpoints *endpoint.Client
-	transport *http.Transport
-	metrics   *metrics.Metrics
-	beat      atomic.Uint64
-	storeOK   atomic.Bool
-	list      atomic.Pointer[[]platform.Instance]
-	kick      chan struct{} // asks for a heartbeat at once; has room for one
-	left      chan struct{} // closed when all was handed over
+	opts         Options
+	id           string
+	injector     do.Injector
+	loop         *control.Loop
+	peers        *peer.Instance
+	relay        *relay.Relay
+	gateway      *gateway.Gateway
+	store        *kv.Client
+	editor       *table.Editor
+	platform     *platform.Client
+	endpoints    *endpoint.Client
+	transport    *http.Transport
+	metrics      *metrics.Metrics
+	heartbeatSeq atomic.Uint64
+	storeOK      atomic.Bool
+	list         atomic.Pointer[[]platform.Instance]
+	heartbeatNow chan struct{} // requests a heartbeat at once; capacity 1
+	reclaimed    chan struct{} // closed when a reclaim notice for this instance has arrived
 }
 
-// ID returns the node ID of an instance with a name that starts at a time. A
-// later start has a higher ID.
+// ID returns the ID of the instance with this name that starts at this time. A later start under
+// the same name has a higher ID.
 func ID(name string, start time.Time) string {
 	return name + "#" + strconv.FormatInt(start.UnixNano(), 36)
 }
 
 // New wires an entry instance; Run starts it.
 func New(o Options) (*Instance, error) {
-	i := &Instance{opts: o, id: ID(o.Settings.Name, o.Clock.Now()), injector: do.New(), kick: make(chan struct{}, 1), left: make(chan struct{})}
+	i := &Instance{opts: o, id: ID(o.Settings.Name, o.Clock.Now()), injector: do.New(), heartbeatNow: make(chan struct{}, 1), reclaimed: make(chan struct{})}
 	i.list.Store(&[]platform.Instance{})
 	i.provide()
 	var err error
@@ -149,10 +150,10 @@
 // InstanceID returns the instance's ID among its peers.
 func (i *Instance) InstanceID() string { return i.id }
 
-// Relay returns the part that carries requests, for tests and embedded runs.
+// Relay returns the relay, for tests and embedded instances.
 func (i *Instance) Relay() *relay.Relay { return i.relay }
 
-// Snapshot returns the published control state.
+// Snapshot returns the newest published control state.
 func (i *Instance) Snapshot() *control.Snapshot { return i.loop.Snapshot() }
 
 func (i *Instance) event(c event.Code, fields ...zap.Field) {
@@ -165,14 +166,14 @@
 	headerTimeout     = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
-	shutdownWait      = time.Second
+	shutdownTimeout   = time.Second
 	failureBackoff    = 500 * time.Millisecond
 	failuresToBackoff = 5
 )
 
-// Run serves until ctx ends or a reclaim notice arrives, then hands over what
-// the instance holds, and stops. It returns how many requests it could not
-// hand over.
+// Run serves until ctx ends or a reclaim notice for this instance arrives. Then it drains the
+// instance and stops it. It returns the number of requests that could neither finish nor be handed
+// over.
 func (i *Instance) Run(ctx context.Context) (left int, err error) {
 	callers, err := i.opts.Net.Listen(i.opts.Settings.Caller)
 	if err != nil {
@@ -183,26 +184,26 @@
 		_ = callers.Close()
 		return 0, fmt.Errorf("listen for peers: %w", err)
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	tree := i.tree(peers)
-	ended := tree.ServeBackground(work)
-	server := i.serveCallers(callers)
+	tree := i.supervisorTree(peers)
+	ended := tree.ServeBackground(runCtx)
+	httpSrv := i.serveCallers(callers)
 	i.event(event.Started, zap.String("instance", i.id), zap.Stringer("callers", i.opts.Settings.Caller))
 	select {
 	case <-ctx.Done():
-		i.loop.Send(work, control.Leave{})
-	case <-i.left:
+		i.loop.Send(runCtx, control.Leave{})
+	case <-i.reclaimed:
 	}
-	<-i.leaveSeen(work)
+	<-i.leavingPublished(runCtx)
 	by := i.loop.Snapshot().LeaveBy
 	i.event(event.Stopping, zap.Time("by", by))
-	left = i.relay.Leave(work, by)
-	down, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWait)
+	left = i.relay.Leave(runCtx, by)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	go i.relay.Close()
-	_ = server.Shutdown(down)
-	_ = server.Close()
+	_ = httpSrv.Shutdown(shutdownCtx)
+	_ = httpSrv.Close()
 	stop()
 	i.peers.Close()
 	<-ended
@@ -213,8 +214,9 @@
 	return left, nil
 }
 
-// leaveSeen is closed once the snapshot says that the instance is leaving.
-func (i *Instance) leaveSeen(ctx context.Context) <-chan struct{} {
+// leavingPublished returns a channel that is closed once the published snapshot says that the instance is
+// leaving, or ctx ends.
+func (i *Instance) leavingPublished(ctx context.Context) <-chan struct{} {
 	seen := make(chan struct{})
 	go func() {
 		defer close(seen)
@@ -243,7 +245,7 @@
 	return s
 }
 
-// child is a part that the supervisor runs.
+// child is a task that the supervisor runs.
 type child struct {
 	name  string
 	serve func(context.Context) error
@@ -252,12 +254,12 @@
 // Serve implements suture.Service.
 func (c child) Serve(ctx context.Context) error { return c.serve(ctx) }
 
-// String names the part in events.
+// String returns the name of the task for events.
 func (c child) String() string { return c.name }
 
-func (i *Instance) tree(peers net.Listener) *suture.Supervisor {
+func (i *Instance) supervisorTree(peers net.Listener) *suture.Supervisor {
 	spec := suture.Spec{
-		EventHook: i.supervised, Timeout: stopTimeout,
+		EventHook: i.logRestart, Timeout: stopTimeout,
 		FailureBackoff: failureBackoff, FailureThreshold: failuresToBackoff,
 	}
 	group := func(name string, children ...child) *suture.Supervisor {
@@ -271,7 +273,7 @@
 	root.Add(child{"clock", i.watchClock})
 	root.Add(group("control",
 		child{"loop", i.loop.Serve},
-		child{"effects", func(ctx context.Context) error { return i.loop.Effects(ctx, i.act) }},
+		child{"effects", func(ctx context.Context) error { return i.loop.Effects(ctx, i.applyEffect) }},
 		child{"watchdog", func(ctx context.Context) error {
 			return i.loop.Watchdog(ctx, func() { i.event(event.ControlWedged) })
 		}},
@@ -285,18 +287,19 @@
 	root.Add(group("peers",
 		child{"listener", func(ctx context.Context) error { return i.peers.Serve(ctx, peers) }},
 		child{"heartbeat", i.heartbeats},
-		child{"reports", i.readReports},
+		child{"reports", i.pollReports},
 	))
 	root.Add(group("requests",
-		child{"news", i.relay.PushUpdates},
+		child{"updates", i.relay.PushUpdates},
 		child{"expiry", i.relay.Expire},
 		child{"claims", i.relay.PullClaims},
 	))
 	return root
 }
 
-// watchClock tells of standstills of this instance, and ends what passed its time meanwhile.
-// What is assumed needs nothing then: its age says that it has to be received anew.
+// watchClock runs the clock, which detects that this process stood still or was suspended and then
+// ends the contexts whose deadline has passed meanwhile, and logs each such resumption. Received
+// state needs no handling then: its age shows that it is stale and must be received again.
 func (i *Instance) watchClock(ctx context.Context) error {
 	c := i.opts.Clock
 	if c == nil {
@@ -306,39 +309,39 @@
 	if err := c.Err(); err != nil {
 		i.event(event.ClockStandsStill, zap.Error(err))
 	}
-	return c.Run(ctx, func(w clock.Resumption) {
-		i.event(event.Resumed, zap.Duration("stood", w.Stood), zap.Duration("suspended", w.Suspended), zap.Int("ended", w.Ended))
+	return c.Run(ctx, func(resumption clock.Resumption) {
+		i.event(event.Resumed, zap.Duration("stood", resumption.Stood), zap.Duration("suspended", resumption.Suspended), zap.Int("ended", resumption.Ended))
 	})
 }
 
-func (i *Instance) supervised(e suture.Event) {
+func (i *Instance) logRestart(e suture.Event) {
 	switch e.Type() {
 	case suture.EventTypeServiceTerminate, suture.EventTypeServicePanic:
 		i.event(event.ChildRestarted, zap.String("what", e.String()))
 	}
 }
 
-// act carries out the effects of control.
-func (i *Instance) act(e control.Effect) {
+// applyEffect handles the effects of the control loop.
+func (i *Instance) applyEffect(e control.Effect) {
 	i.relay.ApplyEffect(e)
 	switch e := e.(type) {
 	case control.TableInForce:
 		i.event(event.TableInForce, zap.Uint64("revision", e.Revision))
-		i.kickHeartbeat()
+		i.requestHeartbeat()
 	case control.ViewInForce:
-		i.kickHeartbeat()
+		i.requestHeartbeat()
 	case control.MemberChanged:
 		i.memberChanged(e)
 	case control.EndpointJoined:
 		i.event(event.EndpointJoined, zap.String("endpoint", e.Endpoint.ID))
 	case control.EndpointLeaving:
-		i.kickHeartbeat()
+		i.requestHeartbeat()
 	case control.EndpointGone:
 		i.event(event.EndpointGone, zap.String("endpoint", e.Endpoint.ID))
 	case control.SelfLeaving:
-		i.kickHeartbeat()
+		i.requestHeartbeat()
 		if !e.By.IsZero() {
-			close(i.left)
+			close(i.reclaimed)
 		}
 	}
 }
@@ -359,27 +362,27 @@
 	i.event(code, zap.String("peer", c.Member.ID))
 }
 
-func (i *Instance) kickHeartbeat() {
+func (i *Instance) requestHeartbeat() {
 	select {
-	case i.kick <- struct{}{}:
+	case i.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
 var errNotReady = errors.New("not ready")
 
-// ready says why this instance takes no requests, or nil.
+// ready returns nil if this instance accepts requests, else an error that says why not.
 func (i *Instance) ready() error {
 	s := i.loop.Snapshot()
 	switch {
 	case s.Leaving:
 		return fmt.Errorf("%w: leaving", errNotReady)
 	case !i.loop.Alive(i.opts.Clock.Now()):
-		return fmt.Errorf("%w: control does not answer", errNotReady)
+		return fmt.Errorf("%w: the control loop does not answer", errNotReady)
 	case s.Table == nil:
-		return fmt.Errorf("%w: no table yet", errNotReady)
+		return fmt.Errorf("%w: no table received yet", errNotReady)
 	case s.View == nil:
-		return fmt.Errorf("%w: no view yet", errNotReady)
+		return fmt.Errorf("%w: no view received yet", errNotReady)
 	case len(s.Members) == 0 && len(control.Seeds(*i.list.Load(), i.opts.Settings.Name)) > 0:
 		return fmt.Errorf("%w: no peer found yet", errNotReady)
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -25,14 +25,15 @@
 
 const (
 	heartbeatTimeout   = 900 * time.Millisecond
-	membersInHeartbeat = 3  // other members told of in one heartbeat, in turn
-	freshSeeds         = 16 // listed instances not known yet that one heartbeat goes to
+	membersInHeartbeat = 3  // other members that one heartbeat reports, in rotation
+	maxNewSeeds        = 16 // most listed but unknown instances that one round of heartbeats goes to
 	editTimeout        = 10 * time.Second
-	leastUsage         = 0.01 // requests per second below which use is not told
+	minReportedRate    = 0.01 // requests per second below which the usage of a client account without open requests is not reported
 )
 
-// heartbeats sends this instance's heartbeat to its neighbours, and to the
-// listed instances that it does not know yet.
+// heartbeats sends this instance's heartbeat to its neighbours and to listed instances that it does
+// not know yet, at an interval that depends on the fleet's size and at once when there is an update,
+// until ctx ends. At most one heartbeat to an address is in flight.
 func (i *Instance) heartbeats(ctx context.Context) error {
 	t := time.NewTimer(member.HeartbeatEvery)
 	defer t.Stop()
@@ -47,12 +48,12 @@
 		case <-t.C:
 			t.Reset(member.Every(len(i.loop.Snapshot().Members)))
 			all = false
-		case <-i.kick:
-			all = true // there is news
+		case <-i.heartbeatNow:
+			all = true // there is an update
 		}
-		i.beat.Add(1)
+		i.heartbeatSeq.Add(1)
 		i.peers.Tidy(i.opts.Clock.Now())
-		for _, addr := range i.heartbeatTo(all) {
+		for _, addr := range i.heartbeatTargets(all) {
 			if !calls.Begin(addr) {
 				continue
 			}
@@ -64,10 +65,10 @@
 	}
 }
 
-// heartbeatTo returns where heartbeats go. A heartbeat is answered by one, so
-// of two that have each other as neighbours only the one with the lower ID
-// begins, unless it has an update or has not seen the other for a while.
-func (i *Instance) heartbeatTo(all bool) []netip.AddrPort {
+// heartbeatTargets returns the addresses that the next heartbeats go to. A heartbeat is answered with
+// one, so of two instances that are neighbours of each other only the one with the lower ID sends.
+// The other one sends too if there is an update (all is true) or its neighbour is suspect.
+func (i *Instance) heartbeatTargets(all bool) []netip.AddrPort {
 	s := i.loop.Snapshot()
 	l := member.NewList(s.Self)
 	now := i.opts.Clock.Now()
@@ -78,16 +79,16 @@
 	}
 	var out []netip.AddrPort
 	for _, m := range l.Neighbours() {
-		mutual := len(s.Members) < member.FullMesh // else it may not have this one as a neighbour
+		mutual := len(s.Members) < member.FullMesh // in a larger fleet, a neighbour may not have this instance as its neighbour
 		if all || !mutual || s.Self.ID < m.ID || m.State != member.Alive {
 			out = append(out, m.Addr)
 		}
 	}
-	fresh := 0
+	newSeeds := 0
 	for _, addr := range control.Seeds(*i.list.Load(), i.opts.Settings.Name) {
-		if !known[addr] && fresh < freshSeeds {
+		if !known[addr] && newSeeds < maxNewSeeds {
 			out = append(out, addr)
-			fresh++
+			newSeeds++
 		}
 	}
 	return out
@@ -106,8 +107,8 @@
 func (i *Instance) makeHeartbeat() *peerpb.Heartbeat {
 	s := i.loop.Snapshot()
 	h := &peerpb.Heartbeat{Self: wireMember(s.Self)}
-	h.Self.Beat = i.beat.Load()
-	offset := int(i.beat.Load())
+	h.Self.Beat = i.heartbeatSeq.Load()
+	offset := int(i.heartbeatSeq.Load())
 	for k := range min(membersInHeartbeat, len(s.Members)) {
 		m := s.Members[(offset+k)%len(s.Members)]
 		if m.State != member.Dead {
@@ -118,7 +119,7 @@
 		h.Leaving = append(h.Leaving, &peerpb.Leaving{Endpoint: n.ID, Incarnation: n.Incarnation, Deadline: peer.Nanos(n.Deadline)})
 	}
 	for _, u := range i.gateway.Usage(i.opts.Clock.Now()) {
-		if u.Open == 0 && u.Rate < leastUsage {
+		if u.Open == 0 && u.Rate < minReportedRate {
 			continue
 		}
 		h.Usage = append(h.Usage, &peerpb.Usage{Account: u.Account, Rate: u.Rate, Tokens: u.Tokens, Open: int64(u.Open)})
@@ -127,7 +128,8 @@
 	return h
 }
 
-// applyHeartbeat takes a heartbeat and catches up with a sender that is ahead.
+// applyHeartbeat applies a received heartbeat, and fetches the table and the view from the sender if
+// it has newer ones.
 func (i *Instance) applyHeartbeat(ctx context.Context, h *peerpb.Heartbeat) {
 	if h.Self == nil {
 		return
@@ -160,34 +162,34 @@
 }
 
 func fromWire(m *peerpb.Member) member.Member {
-	addr, _ := netip.ParseAddrPort(m.Address) // an invalid one cannot be dialled
+	addr, _ := netip.ParseAddrPort(m.Address) // the zero address of an invalid one cannot be dialled
 	return member.Member{
 		ID: m.Id, Name: m.Name, Hall: m.Hall, Addr: addr, Leaving: m.Leaving,
 		TableRevision: m.TableRevision, ViewEpoch: m.ViewEpoch, Beat: m.Beat,
 	}
 }
 
-// Handle answers the calls of other instances.
+// Handle implements peer.Handler: it answers the calls of other instances.
 func (i *Instance) Handle(ctx context.Context, call *peerpb.Call, answer func(*peerpb.Answer) error) error {
 	switch b := call.Body.(type) {
 	case *peerpb.Call_Heartbeat:
 		i.applyHeartbeat(ctx, b.Heartbeat)
 		return answer(&peerpb.Answer{Body: &peerpb.Answer_Heartbeat{Heartbeat: i.makeHeartbeat()}})
 	case *peerpb.Call_FetchTable:
-		return answer(&peerpb.Answer{Body: &peerpb.Answer_Table{Table: i.ownTable()}})
+		return answer(&peerpb.Answer{Body: &peerpb.Answer_Table{Table: i.tableMessage()}})
 	}
 	handled, err := i.relay.Handle(ctx, call, answer)
 	if !handled {
-		return fault.New(fault.StepPeer, call.From, fault.KindInput, fault.NotRun, "unknown call")
+		return fault.New(fault.StepPeer, call.From, fault.KindInput, fault.NotRun, "unknown peer call")
 	}
 	return err
 }
 
-func (i *Instance) ownTable() *peerpb.Table {
+func (i *Instance) tableMessage() *peerpb.Table {
 	s := i.loop.Snapshot()
 	t := &peerpb.Table{StoreRevision: s.Stored.Revision}
 	if s.Stored.Doc != nil {
-		t.Document, _ = s.Stored.Doc.Encode() // it was decoded before
+		t.Document, _ = s.Stored.Doc.Encode() // cannot fail, since the document was decoded before
 	}
 	if s.View != nil {
 		t.View, _ = s.View.Encode()
@@ -218,10 +220,10 @@
 // Status implements gateway.Operator.
 func (i *Instance) Status(ctx context.Context) gateway.Status {
 	s := i.loop.Snapshot()
-	sent, got := i.peers.Bytes()
+	sent, received := i.peers.Bytes()
 	out := gateway.Status{
 		Instance: i.id, Hall: s.Self.Hall, Leaving: s.Leaving, Revision: s.Self.TableRevision, Epoch: s.Self.ViewEpoch,
-		Records: i.relay.Store().Len(), Claims: i.relay.Claims(), SentBytes: sent, GotBytes: got,
+		Records: i.relay.Store().Len(), Claims: i.relay.Claims(), SentBytes: sent, GotBytes: received,
 	}
 	for _, m := range i.loop.Members(ctx) {
 		out.Members = append(out.Members, gateway.StatusMember{
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -11,29 +11,30 @@
 	"github.com/shelfcrank/shelfcrank/internal/route"
 )
 
-const reportEvery = 150 * time.Millisecond
+const reportInterval = 150 * time.Millisecond
 
-// poll is the reading of one endpoint's reports; one call at a time uses it.
-type poll struct {
-	since int // number of the next cache event
+// reportCursor is the position in one endpoint's cache events. Only one call at a time uses it.
+type reportCursor struct {
+	since int // number of the next cache event to read
 }
 
-// readReports asks each endpoint for its load and cache events.
+// pollReports polls the load and the cache events of each model engine until ctx ends, in longer
+// intervals in a larger fleet. Engines that asked for a pause are left out.
 //
-// TODO: every instance asks every endpoint, which is right for today's fleet
-// and not for 330 instances; docs/CAPACITY.md names what has to replace it.
-func (i *Instance) readReports(ctx context.Context) error {
-	polls := make(map[*route.Endpoint]*poll)
+// TODO: every instance polls every engine, which does not scale to 330 instances;
+// docs/CAPACITY.md names the replacement.
+func (i *Instance) pollReports(ctx context.Context) error {
+	polls := make(map[*route.Endpoint]*reportCursor)
 	calls := inflight.New[*route.Endpoint]()
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for ctx.Err() == nil {
 		s := i.loop.Snapshot()
-		current := make(map[*route.Endpoint]*poll, len(polls))
+		current := make(map[*route.Endpoint]*reportCursor, len(polls))
 		for _, e := range modelEndpoints(s) {
 			p := polls[e]
 			if p == nil {
-				p = &poll{}
+				p = &reportCursor{}
 			}
 			current[e] = p
 			if e.AskedForRest(i.opts.Clock.Now()) || !calls.Begin(e) {
@@ -45,7 +46,7 @@
 			})
 		}
 		polls = current
-		sleep(ctx, reportEvery*time.Duration(1+len(s.Members)/member.FullMesh))
+		sleep(ctx, reportInterval*time.Duration(1+len(s.Members)/member.FullMesh))
 	}
 	return ctx.Err()
 }
@@ -60,11 +61,11 @@
 	return out
 }
 
-func (i *Instance) readReport(ctx context.Context, e *route.Endpoint, p *poll) {
+func (i *Instance) readReport(ctx context.Context, e *route.Endpoint, p *reportCursor) {
 	mark, at := e.Mark(), i.opts.Clock.Now()
 	rep, err := i.endpoints.Report(ctx, e.Addr, p.since, i.relay.Observer(e))
 	if err != nil {
-		return // an old report makes the endpoint suspect
+		return // routing adds a penalty to an endpoint whose last report is old
 	}
 	l := route.Load{At: at, Running: rep.Running, PerToken: time.Duration(rep.PerTokenUs) * time.Microsecond, Step: time.Duration(rep.StepUs) * time.Microsecond}
 	copy(l.QueuedTokens[:], rep.QueuedTokens)
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -17,22 +17,22 @@
 	"github.com/shelfcrank/shelfcrank/internal/traffic"
 )
 
-// Entry instances find each other over mutual TLS and serve; one with another
-// authority's certificate is let in by nobody.
+// Entry instances find each other over mutual TLS and serve requests. An instance with a
+// certificate of another authority must not become a member of any.
 func TestPeersOverMutualTLS(t *testing.T) {
 	is := is.New(t)
-	ours, strange := t.TempDir(), t.TempDir()
-	const stranger = "entry-03"
-	// Not in virtual time: crypto/tls holds a mutex while it waits for the
-	// network, which stops a bubble's clock. It stands in a package without
-	// bubbles, since yamux hands timers on through a pool.
+	ours, foreign := t.TempDir(), t.TempDir()
+	const outsider = "entry-03"
+	// The test runs in real time: crypto/tls holds a mutex while it waits for the
+	// network, which stops the virtual clock of a synctest bubble. Its package
+	// must have no bubbles, since yamux shares timers between them through a pool.
 	spec, err := deployment.Load("voltra")
 	is.NoErr(err)
 	spec.Entries = 4
 	peerTLS := func(name string) *tls.Config {
 		dir := ours
-		if name == stranger {
-			dir = strange
+		if name == outsider {
+			dir = foreign
 		}
 		until := time.Now().Add(24 * time.Hour)
 		is.NoErr(keys.MakeAuthority(dir, until))
@@ -57,7 +57,7 @@
 		}
 	}
 	if n := len(e.Entry(3).Snapshot().Members); n != 0 {
-		t.Errorf("the stranger was told of %d members", n)
+		t.Errorf("the instance with a certificate of another authority knows %d members", n)
 	}
 	transport := netx.Transport(mem.Site("client"))
 	b := traffic.NewBalancer(transport, e.Callers()[:3], 1)
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	viewEvery   = 300 * time.Millisecond
-	viewSettle  = 1500 * time.Millisecond // how long a change of members must last
-	viewReadGap = 15 * time.Second        // between reads of the view that nothing asked for
-	foundAlone  = 10 * time.Second        // after its start, an instance that reached fewer than half writes the first view too: most may be down
+	viewInterval     = 300 * time.Millisecond
+	viewSettleTime   = 1500 * time.Millisecond // a change of members must last so long before it changes the view
+	viewReadInterval = 15 * time.Second        // between periodic reads of the stored view
+	firstViewTimeout = 10 * time.Second        // after its start, an instance writes the first view even if it has reached only a minority: the others may be down
 )
 
-// proposeViews keeps the agreed view in step with the instances that live. The
-// first usable instance of the fleet proposes; the others wait longer, in case
-// it fails to.
+// proposeViews keeps the stored view in step with the instances that are alive, until ctx ends. The
+// first instance of the intended view writes it; each later one waits longer, in case those before
+// it fail to.
 func (i *Instance) proposeViews(ctx context.Context) error {
 	var want []claim.Member
 	var since, readAt time.Time
-	foundLatest := i.opts.Clock.Now().Add(foundAlone)
+	firstViewDeadline := i.opts.Clock.Now().Add(firstViewTimeout)
 	for ctx.Err() == nil {
-		sleep(ctx, viewEvery)
+		sleep(ctx, viewInterval)
 		now := i.opts.Clock.Now()
 		s := i.loop.Snapshot()
-		if s.View == nil || now.Sub(readAt) > viewReadGap {
+		if s.View == nil || now.Sub(readAt) > viewReadInterval {
 			readAt = now
 			v, _, err := i.readView(ctx)
 			switch {
 			case err == nil:
 				i.loop.Send(ctx, control.ViewRead{View: v})
 			case errors.Is(err, kv.ErrNotFound) && !s.Leaving:
-				i.foundView(ctx, usable(s), now.After(foundLatest))
+				i.writeFirstView(ctx, viewMembers(s), now.After(firstViewDeadline))
 			}
 			continue
 		}
 		now = i.opts.Clock.Now()
-		next := usable(s)
+		next := viewMembers(s)
 		if !sameIDs(want, next) {
 			want, since = next, now
 		}
 		if sameIDs(next, s.View.Members) || len(next) == 0 {
 			continue
 		}
-		turn := time.Duration(rankOf(next, s.Self.ID)) * viewSettle
-		if now.Sub(since) < viewSettle+turn {
+		delay := time.Duration(writerRank(next, s.Self.ID)) * viewSettleTime
+		if now.Sub(since) < viewSettleTime+delay {
 			continue
 		}
-		if !i.safe(s) {
+		if !i.viewReplaceable(s) {
 			continue
 		}
-		if !i.relay.KeeperReady() && now.Sub(since) < 2*viewSettle+turn {
-			continue // one change at a time, while that is possible
+		if !i.relay.KeeperReady() && now.Sub(since) < 2*viewSettleTime+delay {
+			continue // the claims of the last view are not collected yet: let that end first, but only for a while
 		}
 		i.writeView(ctx, s.View.Next(next))
 		since = i.opts.Clock.Now()
@@ -68,33 +68,35 @@
 	return ctx.Err()
 }
 
-// foundView writes the first view, of the instances that this one reaches, itself
-// included. It waits until these are most of those that the platform lists, or until it
-// is late: a view without the others could be left only once its keepers are no longer
-// listed. An instance with a wrong certificate, which the store lets in and no other
-// instance does, may write it first when many processes start at once.
-func (i *Instance) foundView(ctx context.Context, reached []claim.Member, late bool) {
+// writeFirstView writes the first view, with the instances that this one has reached and itself. It
+// writes it only if these are more than half of the entry instances that the platform lists, or if
+// late is true. Otherwise an instance with a wrong certificate, which the store accepts but no other
+// instance does, could write a first view of its own when many processes start at once, and that
+// view could be replaced only once its keepers are no longer listed.
+func (i *Instance) writeFirstView(ctx context.Context, reached []claim.Member, late bool) {
 	if 2*len(reached) > lo.CountBy(*i.list.Load(), isServingEntry) || late {
 		i.writeView(ctx, (&claim.View{}).Next(reached))
 	}
 }
 
-// isServingEntry reports whether a listed instance is one of these and does not leave.
+// isServingEntry reports whether a listed instance is an entry instance that is not leaving.
 func isServingEntry(inst platform.Instance) bool {
 	return inst.Kind == platform.KindEntry && inst.State != platform.StateLeaving
 }
 
-// safe reports whether most keepers of every shard can still hand their claims
-// on. If not, the view stays while any keeper that does not answer may only be
-// cut off: when the cut ends, nothing was lost. It is given up on when the
-// platform no longer lists it, or when it came back as another incarnation.
-func (i *Instance) safe(s *control.Snapshot) bool {
-	answers := map[string]bool{s.Self.ID: true}
-	newer := make(map[string]bool) // names under which an incarnation lives
+// viewReplaceable reports whether the view may be replaced without losing claims that could still be saved.
+// Each shard needs a majority of keepers that are alive, to pass its claims on. If a shard lacks
+// one only because some keepers do not answer, the view stays: they may be cut off, and their claims
+// are available again when the network recovers. A keeper counts as lost when the platform no longer
+// lists it or its name lives on as another incarnation. If a majority is lost, the claims are lost
+// anyway and the view may be replaced.
+func (i *Instance) viewReplaceable(s *control.Snapshot) bool {
+	alive := map[string]bool{s.Self.ID: true}
+	aliveNames := make(map[string]bool) // names of the instances that live, in whatever incarnation
 	for _, m := range s.Members {
 		if m.State != member.Dead {
-			answers[m.ID] = true
-			newer[m.Name] = true
+			alive[m.ID] = true
+			aliveNames[m.Name] = true
 		}
 	}
 	listed := make(map[string]bool)
@@ -105,24 +107,24 @@
 	}
 	for sh := range claim.Shard(claim.Shards) {
 		group := s.View.Group(sh)
-		n, perhaps := 0, 0
+		n, unreachable := 0, 0
 		for _, k := range group {
 			name, _, _ := strings.Cut(k.ID, "#")
 			switch {
-			case answers[k.ID]:
+			case alive[k.ID]:
 				n++
-			case listed[name] && !newer[name]:
-				perhaps++
+			case listed[name] && !aliveNames[name]:
+				unreachable++
 			}
 		}
-		if n < claim.Majority(len(group)) && n+perhaps >= claim.Majority(len(group)) {
+		if n < claim.Majority(len(group)) && n+unreachable >= claim.Majority(len(group)) {
 			return false
 		}
 	}
 	return true
 }
 
-// readView returns the stored view and the store's revision of it.
+// readView returns the stored view and its revision in the store.
 func (i *Instance) readView(ctx context.Context) (*claim.View, uint64, error) {
 	e, err := i.store.Get(ctx, platform.KeyView)
 	if err != nil {
@@ -132,7 +134,8 @@
 	return v, e.Revision, err
 }
 
-// writeView writes a view if the one before it is still in the store.
+// writeView stores a view if its predecessor is still the stored one, or if it is the first and none
+// is stored. Otherwise it passes the stored view to the control loop.
 func (i *Instance) writeView(ctx context.Context, v *claim.View) {
 	var expect uint64
 	if v.Epoch > 1 {
@@ -154,22 +157,22 @@
 		i.loop.Send(ctx, control.ViewRead{View: v})
 		return
 	}
-	// It may have been written all the same, or another was first: read it.
+	// The write may have succeeded nevertheless, or another instance was first.
 	if cur, _, err := i.readView(ctx); err == nil {
 		i.loop.Send(ctx, control.ViewRead{View: cur})
 	}
 }
 
-func self(s *control.Snapshot) claim.Member {
+func selfMember(s *control.Snapshot) claim.Member {
 	return claim.Member{ID: s.Self.ID, Hall: s.Self.Hall, Addr: s.Self.Addr}
 }
 
-// usable returns the members that a view should have, sorted by ID. One that
-// is only suspect stays.
-func usable(s *control.Snapshot) []claim.Member {
+// viewMembers returns the members that the view should have, sorted by ID: all instances that are
+// neither dead nor leaving. Suspect instances stay in the view.
+func viewMembers(s *control.Snapshot) []claim.Member {
 	var out []claim.Member
 	if !s.Leaving {
-		out = append(out, self(s))
+		out = append(out, selfMember(s))
 	}
 	for _, m := range s.Members {
 		if m.State != member.Dead && !m.Leaving {
@@ -191,9 +194,10 @@
 	return true
 }
 
-// rankOf returns the place of an instance in the order of proposers; one that
-// is leaving comes last.
-func rankOf(members []claim.Member, id string) int {
+// writerRank returns the position of an instance in the order in which instances write a new view. All
+// after the third share rank 3. An instance that is not among the members, since it is leaving,
+// comes last.
+func writerRank(members []claim.Member, id string) int {
 	for i, m := range members {
 		if m.ID == id {
 			return min(i, 3)
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	listEvery    = time.Second
-	backoffFirst = 100 * time.Millisecond
-	backoffMost  = 3 * time.Second
+	listInterval = time.Second
+	backoffMin   = 100 * time.Millisecond
+	backoffMax   = 3 * time.Second
 )
 
-// newBackoff returns the jittered backoff of calls to the platform, so that
-// the fleet does not come back all at once after an outage.
+// newBackoff returns the backoff for calls to the platform. It is jittered, so that the instances
+// do not all call at once after an outage.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = backoffFirst, backoffMost
+	b.InitialInterval, b.MaxInterval = backoffMin, backoffMax
 	return b
 }
 
@@ -36,14 +36,15 @@
 	}
 }
 
-// watchTable brings each revision of the table from the store.
+// watchTable passes each new revision of the table in the store to the control loop, until ctx ends.
+// It logs when the store becomes unavailable and when it is back.
 func (i *Instance) watchTable(ctx context.Context) error {
 	b := newBackoff()
 	var after uint64
 	for ctx.Err() == nil {
 		e, err := i.store.Watch(ctx, platform.KeyTable, after)
 		if errors.Is(err, kv.ErrNotFound) {
-			sleep(ctx, backoffMost)
+			sleep(ctx, backoffMax)
 			continue
 		}
 		if err != nil {
@@ -58,25 +59,25 @@
 			i.event(event.StoreBack)
 		}
 		after = max(after, e.Revision)
-		i.tableFrom(ctx, e)
+		i.applyTable(ctx, e)
 	}
 	return ctx.Err()
 }
 
-func (i *Instance) tableFrom(ctx context.Context, e kv.Entry) {
+func (i *Instance) applyTable(ctx context.Context, e kv.Entry) {
 	doc, err := table.Decode(e.Value)
 	if err != nil {
-		i.opts.Log.Error("stored table", zap.Error(err))
+		i.opts.Log.Error("cannot decode the stored table", zap.Error(err))
 		return
 	}
 	if v := i.loop.Snapshot().Table; v != nil && doc.Revision < v.Revision {
 		i.event(event.TableStale, zap.Uint64("offered", doc.Revision), zap.Uint64("in_force", v.Revision))
-		sleep(ctx, backoffFirst)
+		sleep(ctx, backoffMin)
 	}
 	i.loop.Send(ctx, control.TableRead{Stored: table.Stored{Doc: doc, Revision: e.Revision}, From: "store"})
 }
 
-// readList reads the lagging list of instances.
+// readList polls the platform's instance list, which may lag behind, until ctx ends.
 func (i *Instance) readList(ctx context.Context) error {
 	b := newBackoff()
 	for ctx.Err() == nil {
@@ -88,12 +89,13 @@
 		b.Reset()
 		i.list.Store(&list)
 		i.loop.Send(ctx, control.ListRead{Instances: list})
-		sleep(ctx, listEvery)
+		sleep(ctx, listInterval)
 	}
 	return ctx.Err()
 }
 
-// watchNotices brings reclaim notices as they come.
+// watchNotices passes the platform's reclaim notices to the control loop as they arrive, until ctx
+// ends.
 func (i *Instance) watchNotices(ctx context.Context) error {
 	b := newBackoff()
 	after := 0
@@ -107,7 +109,7 @@
 		after = n.Next
 		current := n.Notices[:0]
 		for _, notice := range n.Notices {
-			// A notice for an earlier life of this instance's name is not for it.
+			// A notice for this instance's name whose deadline has passed was for an earlier incarnation.
 			if notice.ID != i.opts.Settings.Name || notice.Deadline.After(i.opts.Clock.Now()) {
 				current = append(current, notice)
 			}
