--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway is the HTTP side towards callers and operators.
+// Package gateway is the HTTP API for clients and operators.
 //
-// It authenticates, turns requests into records, hands them to the relay and
-// writes answers out as they come. It keeps nothing between requests but the
-// counters of limits. Gateway is safe for concurrent use.
+// It authenticates calls, turns them into requests for the relay and streams
+// the responses back. The only state it keeps between calls is the usage of
+// the client accounts' limits. Gateway is safe for concurrent use.
 package gateway
 
 import (
@@ -27,20 +27,25 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Relay runs requests.
+// Relay runs requests on endpoints.
 type Relay interface {
+	// Submit accepts a request for execution.
 	Submit(ctx context.Context, req record.Request) error
+	// Follow calls each with the parts of a request's response, starting at
+	// token number from, until the response is complete, each returns an error
+	// or ctx ends.
 	Follow(ctx context.Context, id string, from int, each func(relay.Chunk) error) error
 }
 
-// Operator is what operators' calls need.
+// Operator implements the operator API: edits of the table, their history and
+// the status of the system.
 type Operator interface {
 	Edit(ctx context.Context, e table.Edit) (table.Accepted, error)
 	History(ctx context.Context, limit int) ([]table.Accepted, error)
 	Status(ctx context.Context) Status
 }
 
-// Options are what a gateway is made of.
+// Options holds the dependencies of a Gateway.
 type Options struct {
 	Snapshot func() *control.Snapshot
 	Relay    Relay
@@ -50,7 +55,7 @@
 	Clock    *clock.Clock // may be nil
 }
 
-// Gateway serves callers and operators.
+// Gateway is the HTTP handler of the client and operator API.
 type Gateway struct {
 	Options
 	mux *http.ServeMux
@@ -59,22 +64,23 @@
 	limits *admit.Limiter // guarded by mu
 }
 
-// Limits of what one request may bring.
+// Limits on the body of one request, in bytes, and on the time to read it.
 const (
 	maxModelBody   = 4 << 20
 	maxServiceBody = 1 << 20
 	bodyTimeout    = 10 * time.Second
 )
 
-var useProblemsOnce sync.Once
+var installProblemsOnce sync.Once
 
-// New returns a gateway.
+// New returns a Gateway with all routes registered. The first call also
+// replaces huma's global error constructor.
 func New(o Options) *Gateway {
-	useProblemsOnce.Do(useProblems)
+	installProblemsOnce.Do(installProblems)
 	g := &Gateway{Options: o, mux: http.NewServeMux(), limits: admit.New()}
 	c := huma.DefaultConfig("shelfcrank", "1")
 	c.DocsPath = ""
-	c.CreateHooks = nil // no links to schemas in answers
+	c.CreateHooks = nil // no schema links in responses
 	api := humago.New(g.mux, c)
 	g.registerModels(api)
 	g.registerServices(api)
@@ -92,7 +98,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if strings.HasPrefix(r.URL.Path, "/v1/") {
-		id, _ := identify("", "") // of an answer to a request that is not accepted
+		id, _ := requestID("", "") // default id, for responses to requests that are not accepted
 		w.Header().Set("Request-Id", id)
 	}
 	g.mux.ServeHTTP(w, r)
@@ -104,24 +110,26 @@
 	}
 }
 
-// Usage returns the use of limits for the heartbeat.
+// Usage returns how much of its limits each client account uses at this
+// instance. The heartbeat reports it to the other entry instances.
 func (g *Gateway) Usage(now time.Time) []admit.Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limits.Usage(now)
 }
 
-// Auth is the header that names the client account.
+// Auth is the header that carries the key of the client account.
 type Auth struct {
 	Authorization string `header:"Authorization" doc:"Bearer KEY; the key names the client account."`
 }
 
-// account returns the account that a key names. Keys are looked up by their
-// hash, so that the time taken says nothing about any key.
-func (g *Gateway) account(a Auth) (*table.View, *table.Account, error) {
+// authenticate returns the current table and the client account that the key
+// in the header belongs to. Keys are looked up by their hash, so that the time
+// taken reveals nothing about valid keys.
+func (g *Gateway) authenticate(a Auth) (*table.View, *table.Account, error) {
 	v := g.Snapshot().Table
 	if v == nil {
-		return nil, nil, fault.New(fault.StepAuth, "", fault.KindRefused, fault.NotRun, "no table yet").Retry(g.Clock.Now().Add(time.Second))
+		return nil, nil, fault.New(fault.StepAuth, "", fault.KindRefused, fault.NotRun, "no table loaded yet").Retry(g.Clock.Now().Add(time.Second))
 	}
 	key, ok := strings.CutPrefix(a.Authorization, "Bearer ")
 	if !ok || key == "" {
@@ -135,7 +143,7 @@
 	return v, acc, nil
 }
 
-// CallHeaders are the headers of calls that run something.
+// CallHeaders are the headers of model and service calls.
 type CallHeaders struct {
 	Auth
 	Key      string `header:"Idempotency-Key" maxLength:"200" doc:"A repeat under the same key gets the first one's answer."`
@@ -144,9 +152,10 @@
 
 const idBytes = 16
 
-// identify returns the id of a request: made from the account and the caller's
-// key, so that it is the same at every entry instance, or new.
-func identify(account, key string) (id string, fresh bool) {
+// requestID returns the id of a request. With an idempotency key the id is a
+// hash of account and key, so that every entry instance derives the same one;
+// without a key the id is random, and generated is true.
+func requestID(account, key string) (id string, generated bool) {
 	if key == "" {
 		var b [idBytes]byte
 		_, _ = rand.Read(b[:]) // never fails
@@ -156,16 +165,17 @@
 	return "k" + hex.EncodeToString(sum[:idBytes]), false
 }
 
-// begin makes the parts that all records share. path is matched to a class.
-func (g *Gateway) begin(h CallHeaders, path string) (record.Request, *table.Account, *table.Class, error) {
+// newRequest authenticates a call, matches path to a class of the table and
+// returns a request with the fields that model and service calls share.
+func (g *Gateway) newRequest(h CallHeaders, path string) (record.Request, *table.Account, *table.Class, error) {
 	var req record.Request
-	v, acc, err := g.account(h.Auth)
+	v, acc, err := g.authenticate(h.Auth)
 	if err != nil {
 		return req, nil, nil, err
 	}
 	class, ok := v.Class(path)
 	if !ok {
-		return req, nil, nil, fault.New(fault.StepParse, "", fault.KindNotFound, fault.NotRun, "no class of the table matches %s", path)
+		return req, nil, nil, fault.New(fault.StepParse, "", fault.KindNotFound, fault.NotRun, "no request class of the table matches %s", path)
 	}
 	now := g.Clock.Now()
 	deadline := now.Add(class.Deadline)
@@ -179,15 +189,17 @@
 		}
 		deadline = d
 	}
-	id, fresh := identify(acc.Name, h.Key)
+	id, generated := requestID(acc.Name, h.Key)
 	return record.Request{
 		ID: id, Account: acc.Name, Class: class.Name, Priority: class.Priority,
-		Deadline: deadline, Arrived: now, Repeatable: class.Repeatable, Fresh: fresh,
+		Deadline: deadline, Arrived: now, Repeatable: class.Repeatable, Fresh: generated,
 	}, acc, class, nil
 }
 
-// submit takes a request through the account's limits to the relay. The
-// returned function ends its use of the limits.
+// submit checks a request against the limits of its account and submits it to
+// the relay. work is what it counts against the account's token limit. The
+// caller must call the returned function when the request ends: until then it
+// counts as open.
 func (g *Gateway) submit(ctx context.Context, req record.Request, acc *table.Account, work int) (func(), error) {
 	now := g.Clock.Now()
 	s := g.Snapshot()
@@ -200,18 +212,18 @@
 	if !v.OK {
 		run := fault.NotRun
 		if !req.Fresh {
-			run = fault.MayHaveRun // an earlier attempt may exist
+			run = fault.MayHaveRun // an earlier request with the same idempotency key may have run
 		}
-		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, run, "%s of the account is reached", v.Limit).Retry(v.RetryAt)
+		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, run, "limit %s of the client account is reached", v.Limit).Retry(v.RetryAt)
 	}
-	end := func() {
+	release := func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.limits.Done(acc.Name)
 	}
 	if err := g.Relay.Submit(ctx, req); err != nil {
-		end()
+		release()
 		return nil, err
 	}
-	return end, nil
+	return release, nil
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -23,8 +23,8 @@
 	Content string `json:"content"`
 }
 
-// modelBody has the fields that both kinds of model call share. Fields of the
-// widely used shape that are not listed are accepted and ignored.
+// modelBody has the fields that chat and text completions share. Other fields
+// of the widely used completion API are accepted and ignored.
 type modelBody struct {
 	_         struct{} `json:"-" additionalProperties:"true"`
 	Model     string   `json:"model" minLength:"1" maxLength:"200"`
@@ -34,13 +34,13 @@
 	Seed      uint64   `json:"seed,omitempty"`
 }
 
-// ChatBody is the body of a chat completion.
+// ChatBody is the request body of a chat completion.
 type ChatBody struct {
 	modelBody
 	Messages []Message `json:"messages" minItems:"1"`
 }
 
-// CompletionBody is the body of a completion.
+// CompletionBody is the request body of a text completion.
 type CompletionBody struct {
 	modelBody
 	Prompt string `json:"prompt" minLength:"1"`
@@ -67,23 +67,24 @@
 		for _, m := range in.Body.Messages {
 			fmt.Fprintf(&prompt, "%s: %s\n", m.Role, m.Content)
 		}
-		return g.model(ctx, in.CallHeaders, in.Body.modelBody, prompt.String(), in.Body.Messages[0].Content, true)
+		return g.callModel(ctx, in.CallHeaders, in.Body.modelBody, prompt.String(), in.Body.Messages[0].Content, true)
 	})
 	huma.Register(api, op("completions", "/v1/completions"), func(ctx context.Context, in *completionInput) (*huma.StreamResponse, error) {
-		first := in.Body.Prompt[:min(len(in.Body.Prompt), prefix.BlockBytes)]
-		return g.model(ctx, in.CallHeaders, in.Body.modelBody, in.Body.Prompt, first, false)
+		sessionText := in.Body.Prompt[:min(len(in.Body.Prompt), prefix.BlockBytes)]
+		return g.callModel(ctx, in.CallHeaders, in.Body.modelBody, in.Body.Prompt, sessionText, false)
 	})
 }
 
-// model takes a model call. first is what stays the same through a
-// conversation, for callers that do not name it.
-func (g *Gateway) model(ctx context.Context, h CallHeaders, b modelBody, prompt, first string, chat bool) (*huma.StreamResponse, error) {
-	req, acc, _, err := g.begin(h, "model/"+b.Model)
+// callModel submits a model call and returns its response. sessionText is the
+// part of the prompt that stays the same throughout a conversation: its hash
+// identifies the conversation of clients that do not set the user field.
+func (g *Gateway) callModel(ctx context.Context, h CallHeaders, b modelBody, prompt, sessionText string, chat bool) (*huma.StreamResponse, error) {
+	req, acc, _, err := g.newRequest(h, "model/"+b.Model)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
 	req.Kind, req.Target, req.Body, req.Chat = record.KindModel, b.Model, []byte(prompt), chat
-	req.Repeatable = true // a model call has no effect but its answer
+	req.Repeatable = true // model calls have no side effects
 	req.MaxTokens = b.MaxTokens
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultMaxTokens
@@ -91,57 +92,59 @@
 	req.Seed = b.Seed
 	req.Digest = relay.Digest([]byte(b.Model), req.Body, strconv.AppendInt(nil, int64(req.MaxTokens), 10))
 	if req.Seed == 0 {
-		req.Seed = req.Digest // the answer is the same wherever it goes on
+		req.Seed = req.Digest // a stream that moves to another endpoint must go on with the same tokens
 	}
 	req.Session = acc.Name + "/" + b.User
 	if b.User == "" {
-		req.Session = acc.Name + "/" + strconv.FormatUint(relay.Digest([]byte(first)), 36)
+		req.Session = acc.Name + "/" + strconv.FormatUint(relay.Digest([]byte(sessionText)), 36)
 	}
-	end, err := g.submit(ctx, req, acc, prefix.Tokens(prompt)+req.MaxTokens)
+	release, err := g.submit(ctx, req, acc, prefix.Tokens(prompt)+req.MaxTokens)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
-	a := answer{g: g, id: req.ID, account: acc.Name, model: b.Model, chat: chat, stream: b.Stream}
+	r := response{g: g, id: req.ID, account: acc.Name, model: b.Model, chat: chat, stream: b.Stream}
 	return &huma.StreamResponse{Body: func(hc huma.Context) {
-		defer end()
-		a.write(hc, 0)
+		defer release()
+		r.write(hc, 0)
 	}}, nil
 }
 
-// answer writes the answer of a model call, or of a service call when model is
-// empty.
-type answer struct {
+// response writes the response of a model call, or of a service call when model
+// is empty.
+type response struct {
 	g       *Gateway
 	id      string
-	account string
+	account string // client account that must own the request
 	model   string
 	chat    bool
-	stream  bool
+	stream  bool // server-sent events instead of one body
 }
 
-// write follows the answer from a position and writes it as it comes.
-func (a *answer) write(hc huma.Context, from int) {
-	hc.SetHeader("Request-Id", a.id)
-	if a.stream {
-		a.writeStream(hc, from)
+// write writes the response from token number from on.
+func (r *response) write(hc huma.Context, from int) {
+	hc.SetHeader("Request-Id", r.id)
+	if r.stream {
+		r.writeStream(hc, from)
 		return
 	}
-	a.writeWhole(hc, from)
+	r.writeComplete(hc, from)
 }
 
-func (a *answer) check(c relay.Chunk) error {
-	if c.Head != nil && c.Head.Account != a.account {
+// checkAccount reports a request of another client account as not found.
+func (r *response) checkAccount(c relay.Chunk) error {
+	if c.Head != nil && c.Head.Account != r.account {
 		return fault.New(fault.StepAuth, "", fault.KindNotFound, fault.MayHaveRun, "no such request")
 	}
 	return nil
 }
 
-func (a *answer) writeWhole(hc huma.Context, from int) {
+// writeComplete waits for the end of the response and writes it as one body.
+func (r *response) writeComplete(hc huma.Context, from int) {
 	var text strings.Builder
 	tokens := 0
 	var result *record.Result
-	err := a.g.Relay.Follow(hc.Context(), a.id, from, func(c relay.Chunk) error {
-		if err := a.check(c); err != nil {
+	err := r.g.Relay.Follow(hc.Context(), r.id, from, func(c relay.Chunk) error {
+		if err := r.checkAccount(c); err != nil {
 			return err
 		}
 		for _, t := range c.Tokens {
@@ -155,10 +158,10 @@
 		err = result.Failure
 	}
 	if err != nil {
-		writeProblem(hc, a.g.problemOf(err))
+		writeProblem(hc, r.g.newProblem(err))
 		return
 	}
-	if a.model == "" {
+	if r.model == "" {
 		hc.SetHeader("Content-Type", result.ContentType)
 		hc.SetStatus(result.Status)
 		_, _ = hc.BodyWriter().Write(result.Body)
@@ -166,7 +169,7 @@
 	}
 	hc.SetHeader("Content-Type", "application/json")
 	hc.SetStatus(http.StatusOK)
-	_ = json.NewEncoder(hc.BodyWriter()).Encode(a.completion(text.String(), tokens))
+	_ = json.NewEncoder(hc.BodyWriter()).Encode(r.completion(text.String(), tokens))
 }
 
 func writeProblem(hc huma.Context, p *Problem) {
@@ -178,7 +181,7 @@
 	_ = json.NewEncoder(hc.BodyWriter()).Encode(p)
 }
 
-// Completion is a whole answer or one part of a stream.
+// Completion is a complete response of a model call or one event of a stream.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -188,7 +191,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is the one answer in a Completion.
+// Choice is the generated text in a Completion, which always has one choice.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -197,23 +200,23 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Delta is a part of a chat message.
+// Delta is the text that one event of a stream adds to a chat message.
 type Delta struct {
 	Content string `json:"content,omitempty"`
 }
 
-// Usage counts the tokens of an answer.
+// Usage is the number of tokens in a complete response.
 type Usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
 const roleAssistant = "assistant"
 
-func (a *answer) completion(text string, tokens int) Completion {
+func (r *response) completion(text string, tokens int) Completion {
 	stop := "stop"
-	c := Completion{ID: a.id, Object: "text_completion", Created: time.Now().Unix(), Model: a.model, Usage: &Usage{tokens}}
+	c := Completion{ID: r.id, Object: "text_completion", Created: time.Now().Unix(), Model: r.model, Usage: &Usage{tokens}}
 	choice := Choice{FinishReason: &stop, Text: text}
-	if a.chat {
+	if r.chat {
 		c.Object = "chat.completion"
 		choice.Text, choice.Message = "", &Message{Role: roleAssistant, Content: text}
 	}
@@ -221,10 +224,10 @@
 	return c
 }
 
-func (a *answer) part(text string) Completion {
-	c := Completion{ID: a.id, Object: "text_completion", Created: time.Now().Unix(), Model: a.model}
+func (r *response) completionChunk(text string) Completion {
+	c := Completion{ID: r.id, Object: "text_completion", Created: time.Now().Unix(), Model: r.model}
 	choice := Choice{Text: text}
-	if a.chat {
+	if r.chat {
 		c.Object = "chat.completion.chunk"
 		choice.Text, choice.Delta = "", &Delta{text}
 	}
@@ -232,9 +235,10 @@
 	return c
 }
 
-// writeStream writes server-sent events. The id of each event is the position
-// after it: a caller whose connection breaks resumes from there.
-func (a *answer) writeStream(hc huma.Context, from int) {
+// writeStream writes the response as server-sent events, one per token. The id
+// of an event is the number of tokens up to and including it: a client whose
+// connection breaks resumes from there.
+func (r *response) writeStream(hc huma.Context, from int) {
 	hc.SetHeader("Content-Type", "text/event-stream")
 	hc.SetHeader("Cache-Control", "no-store")
 	hc.SetStatus(http.StatusOK)
@@ -244,15 +248,15 @@
 			_ = http.NewResponseController(rw).Flush()
 		}
 	}
-	flush() // the caller learns the Request-Id as soon as it is accepted
+	flush() // send the Request-Id before the first token
 	pos := from
-	err := a.g.Relay.Follow(hc.Context(), a.id, from, func(c relay.Chunk) error {
-		if err := a.check(c); err != nil {
+	err := r.g.Relay.Follow(hc.Context(), r.id, from, func(c relay.Chunk) error {
+		if err := r.checkAccount(c); err != nil {
 			return err
 		}
 		for _, t := range c.Tokens {
 			pos++
-			if err := writeEvent(w, strconv.Itoa(pos), a.part(t)); err != nil {
+			if err := writeEvent(w, strconv.Itoa(pos), r.completionChunk(t)); err != nil {
 				return err
 			}
 		}
@@ -264,17 +268,19 @@
 	})
 	switch {
 	case hc.Context().Err() != nil:
-		return // the caller is gone
+		return // the client has disconnected
 	case err != nil:
 		_ = writeEvent(w, "", struct {
 			Error *Problem `json:"error"`
-		}{a.g.problemOf(err)})
+		}{r.g.newProblem(err)})
 	default:
 		_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 	}
 	flush()
 }
 
+// writeEvent writes v as the JSON data of a server-sent event, without an id
+// line if id is empty.
 func writeEvent(w interface{ Write([]byte) (int, error) }, id string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -13,7 +13,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Status is what an entry instance knows of the system.
+// Status is the state of the system as one entry instance sees it.
 type Status struct {
 	Instance  string           `json:"instance"`
 	Hall      string           `json:"hall"`
@@ -28,7 +28,7 @@
 	GotBytes  int64            `json:"peer_bytes_received"`
 }
 
-// StatusMember is an entry instance in a Status.
+// StatusMember is the state of one entry instance in a Status.
 type StatusMember struct {
 	ID       string    `json:"id"`
 	Hall     string    `json:"hall"`
@@ -38,7 +38,7 @@
 	SeenAt   time.Time `json:"heard_at"`
 }
 
-// StatusEndpoint is an endpoint in a Status.
+// StatusEndpoint is the state of one endpoint in a Status.
 type StatusEndpoint struct {
 	ID      string `json:"id"`
 	Hall    string `json:"hall"`
@@ -48,12 +48,13 @@
 	Resting bool   `json:"resting"`
 }
 
-// EditAnswer says what became of an edit.
+// EditAnswer is the response to an EditRequest that took effect.
 type EditAnswer struct {
 	Accepted table.Accepted `json:"accepted"`
 }
 
-// EditRequest asks for an edit; who asks follows from the key.
+// EditRequest asks for an edit of the table. Its author is the client account
+// whose key authenticates the call.
 type EditRequest struct {
 	ID     string `json:"id" minLength:"8" maxLength:"64" doc:"Chosen by the client; the same edit asked for again takes effect once."`
 	Op     string `json:"op" enum:"set,add,remove"`
@@ -66,7 +67,7 @@
 	Force  bool   `json:"force,omitempty"`
 }
 
-// NewEditRequest returns the request for an edit.
+// NewEditRequest returns the request that asks for e.
 func NewEditRequest(e table.Edit) EditRequest {
 	return EditRequest{e.ID, string(e.Op), e.Row, e.Column, e.Value, e.Was, e.HasWas, e.Kind, e.Force}
 }
@@ -83,6 +84,7 @@
 	Limit int `query:"limit" minimum:"1" maximum:"5000" default:"50"`
 }
 
+// bodyOf is a huma output with a body and no headers.
 type bodyOf[T any] struct{ Body T }
 
 func (g *Gateway) registerOperators(api huma.API) {
@@ -90,45 +92,47 @@
 		return huma.Operation{OperationID: id, Method: method, Path: path, Tags: []string{"operators"}}
 	}
 	huma.Register(api, op("get-table", http.MethodGet, "/operator/table"), func(_ context.Context, in *operatorInput) (*bodyOf[*table.Document], error) {
-		if _, err := g.operator(in.Auth); err != nil {
-			return nil, g.problemOf(err)
+		if _, err := g.authenticateOperator(in.Auth); err != nil {
+			return nil, g.newProblem(err)
 		}
 		return &bodyOf[*table.Document]{g.Snapshot().Stored.Doc}, nil
 	})
 	huma.Register(api, op("edit-table", http.MethodPost, "/operator/edits"), g.edit)
 	huma.Register(api, op("get-history", http.MethodGet, "/operator/history"), func(ctx context.Context, in *historyInput) (*bodyOf[[]table.Accepted], error) {
-		if _, err := g.operator(in.Auth); err != nil {
-			return nil, g.problemOf(err)
+		if _, err := g.authenticateOperator(in.Auth); err != nil {
+			return nil, g.newProblem(err)
 		}
 		h, err := g.Operator.History(ctx, in.Limit)
 		if err != nil {
-			return nil, g.problemOf(g.storeFault(err))
+			return nil, g.newProblem(g.storeFault(err))
 		}
 		return &bodyOf[[]table.Accepted]{h}, nil
 	})
 	huma.Register(api, op("get-status", http.MethodGet, "/operator/status"), func(ctx context.Context, in *operatorInput) (*bodyOf[Status], error) {
-		if _, err := g.operator(in.Auth); err != nil {
-			return nil, g.problemOf(err)
+		if _, err := g.authenticateOperator(in.Auth); err != nil {
+			return nil, g.newProblem(err)
 		}
 		return &bodyOf[Status]{g.Operator.Status(ctx)}, nil
 	})
 }
 
-func (g *Gateway) operator(a Auth) (*table.Account, error) {
-	_, acc, err := g.account(a)
+// authenticateOperator authenticates a call and returns its client account. It
+// fails if the table does not mark the account as an operator.
+func (g *Gateway) authenticateOperator(a Auth) (*table.Account, error) {
+	_, acc, err := g.authenticate(a)
 	if err != nil {
 		return nil, err
 	}
 	if !acc.Operator {
-		return nil, fault.New(fault.StepAuth, "", fault.KindUnauthorised, fault.NotRun, "the key is not an operator's")
+		return nil, fault.New(fault.StepAuth, "", fault.KindUnauthorised, fault.NotRun, "the key does not belong to an operator")
 	}
 	return acc, nil
 }
 
 func (g *Gateway) edit(ctx context.Context, in *editInput) (*bodyOf[EditAnswer], error) {
-	acc, err := g.operator(in.Auth)
+	acc, err := g.authenticateOperator(in.Auth)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
 	b := in.Body
 	accepted, err := g.Operator.Edit(ctx, table.Edit{
@@ -136,12 +140,14 @@
 		Value: b.Value, Was: b.Was, HasWas: b.HasWas, Kind: b.Kind, Force: b.Force,
 	})
 	if err != nil {
-		return nil, g.problemOf(g.editFault(err))
+		return nil, g.newProblem(g.editFault(err))
 	}
 	return &bodyOf[EditAnswer]{EditAnswer{accepted}}, nil
 }
 
-// editFault tells a conflict and a refusal from a store that did not answer.
+// editFault classifies the error of an edit: a conflict with another edit, an
+// edit that is not allowed, one with an unknown outcome, or a failure of the
+// store.
 func (g *Gateway) editFault(err error) error {
 	var conflict *table.ConflictError
 	var rejected *table.RejectedError
@@ -157,6 +163,8 @@
 	}
 }
 
+// storeFault classifies an error of the store. The client may retry after a
+// second.
 func (g *Gateway) storeFault(err error) error {
 	f := fault.New(fault.StepStore, "", fault.KindRefused, fault.NotRun, "%w", err).Retry(g.Clock.Now().Add(time.Second))
 	if errors.Is(err, kv.ErrUnknown) {
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -9,7 +9,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/fault"
 )
 
-// Problem is an error answer, as application/problem+json.
+// Problem is an error response in the application/problem+json format.
 type Problem struct {
 	Status int                 `json:"status" doc:"HTTP status."`
 	Title  string              `json:"title"`
@@ -18,7 +18,7 @@
 	Step   string              `json:"step,omitempty" doc:"Step at which the error arose."`
 	Errors []*huma.ErrorDetail `json:"errors,omitempty"`
 
-	retryAfter string // seconds; empty if coming back is no use
+	retryAfter string // seconds; empty if a retry would not help
 }
 
 // Error implements error.
@@ -39,7 +39,7 @@
 	return h
 }
 
-var statusOf = map[fault.Kind]int{
+var statusByKind = map[fault.Kind]int{
 	fault.KindInternal:     http.StatusInternalServerError,
 	fault.KindRefused:      http.StatusServiceUnavailable,
 	fault.KindTimeout:      http.StatusGatewayTimeout,
@@ -51,10 +51,10 @@
 	fault.KindNotFound:     http.StatusNotFound,
 }
 
-// problemOf returns the answer for an error.
-func (g *Gateway) problemOf(err error) *Problem {
+// newProblem returns the error response for err.
+func (g *Gateway) newProblem(err error) *Problem {
 	f := fault.As(err)
-	status := statusOf[f.Kind]
+	status := statusByKind[f.Kind]
 	p := &Problem{Status: status, Title: http.StatusText(status), Detail: f.Error(), Run: f.Run.String(), Step: string(f.Step)}
 	if !f.RetryAt.IsZero() {
 		seconds := max(0, int(g.Clock.Until(f.RetryAt).Seconds()+0.999))
@@ -63,9 +63,9 @@
 	return p
 }
 
-// useProblems makes huma's own errors, such as a body that does not parse,
-// Problems: they arise before anything runs.
-func useProblems() {
+// installProblems makes huma return its own errors, such as an invalid body, as
+// Problems. They occur before the request is accepted, so it has not run.
+func installProblems() {
 	huma.NewError = func(status int, msg string, errs ...error) huma.StatusError {
 		p := &Problem{Status: status, Title: http.StatusText(status), Detail: msg, Run: fault.NotRun.String(), Step: string(fault.StepParse)}
 		for _, err := range errs {
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -22,7 +22,7 @@
 
 const (
 	defaultContentType = "application/octet-stream"
-	stateWait          = 300 * time.Millisecond // for the state of a request
+	stateTimeout       = 300 * time.Millisecond // time to collect the state of a request
 )
 
 func (g *Gateway) registerServices(api huma.API) {
@@ -34,27 +34,27 @@
 
 func (g *Gateway) callService(ctx context.Context, in *serviceInput) (*huma.StreamResponse, error) {
 	target := in.Service + "/" + in.Path
-	req, acc, _, err := g.begin(in.CallHeaders, "service/"+target)
+	req, acc, _, err := g.newRequest(in.CallHeaders, "service/"+target)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
 	req.Kind, req.Target, req.Body, req.ContentType = record.KindService, target, in.RawBody, in.ContentType
 	if req.ContentType == "" {
 		req.ContentType = defaultContentType
 	}
 	req.Digest = relay.Digest([]byte(target), req.Body)
-	end, err := g.submit(ctx, req, acc, 1)
+	release, err := g.submit(ctx, req, acc, 1)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
-	a := answer{g: g, id: req.ID, account: acc.Name}
+	r := response{g: g, id: req.ID, account: acc.Name}
 	return &huma.StreamResponse{Body: func(hc huma.Context) {
-		defer end()
-		a.write(hc, 0)
+		defer release()
+		r.write(hc, 0)
 	}}, nil
 }
 
-// RequestInput names a request of the caller's account.
+// RequestInput identifies a request of the authenticated client account.
 type RequestInput struct {
 	Auth
 	ID string `path:"id" maxLength:"64"`
@@ -65,7 +65,7 @@
 	From int `query:"from" minimum:"0"`
 }
 
-// RequestState is what is known of a request.
+// RequestState is the progress of a request.
 type RequestState struct {
 	ID       string `json:"id"`
 	Class    string `json:"class"`
@@ -84,18 +84,19 @@
 	huma.Register(api, huma.Operation{OperationID: "resume-request", Method: http.MethodGet, Path: "/v1/requests/{id}/stream", Tags: []string{"requests"}}, g.resumeRequest)
 }
 
-// getRequest looks at the first chunk that comes and does not wait for more.
+// getRequest returns the state of a request: the chunks of its response that
+// arrive within stateTimeout. If none arrives, the state is empty.
 func (g *Gateway) getRequest(ctx context.Context, in *RequestInput) (*requestOutput, error) {
-	_, acc, err := g.account(in.Auth)
+	_, acc, err := g.authenticate(in.Auth)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
-	a := answer{g: g, id: in.ID, account: acc.Name}
+	r := response{g: g, id: in.ID, account: acc.Name}
 	out := &requestOutput{ID: in.ID, Body: RequestState{ID: in.ID}}
-	ctx, cancel := context.WithTimeout(ctx, stateWait)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	err = g.Relay.Follow(ctx, in.ID, 0, func(c relay.Chunk) error {
-		if err := a.check(c); err != nil {
+		if err := r.checkAccount(c); err != nil {
 			return err
 		}
 		out.Body.Position += len(c.Tokens)
@@ -109,43 +110,47 @@
 		return nil
 	})
 	if err != nil && ctx.Err() == nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
 	return out, nil
 }
 
+// resumeRequest writes the response of an earlier request: that of a model
+// call as a stream that starts at token number From, that of a service call as
+// one body.
 func (g *Gateway) resumeRequest(ctx context.Context, in *streamInput) (*huma.StreamResponse, error) {
-	_, acc, err := g.account(in.Auth)
+	_, acc, err := g.authenticate(in.Auth)
 	if err != nil {
-		return nil, g.problemOf(err)
+		return nil, g.newProblem(err)
 	}
-	a := answer{g: g, id: in.ID, account: acc.Name, stream: true}
+	r := response{g: g, id: in.ID, account: acc.Name, stream: true}
 	return &huma.StreamResponse{Body: func(hc huma.Context) {
-		head, err := g.head(hc.Context(), a)
+		head, err := g.requestHead(hc.Context(), r)
 		if err != nil {
-			writeProblem(hc, g.problemOf(err))
+			writeProblem(hc, g.newProblem(err))
 			return
 		}
-		a.model, a.chat, a.stream = head.Target, head.Chat, head.Kind == record.KindModel
-		if !a.stream {
-			a.model = ""
+		r.model, r.chat, r.stream = head.Target, head.Chat, head.Kind == record.KindModel
+		if !r.stream {
+			r.model = ""
 		}
-		a.write(hc, in.From)
+		r.write(hc, in.From)
 	}}, nil
 }
 
-// errSeen ends a follow that only looks at the first chunk.
-var errSeen = fault.New(fault.StepResume, "", fault.KindInternal, fault.MayHaveRun, "seen")
+// errStopFollow stops Follow after the first chunk.
+var errStopFollow = fault.New(fault.StepResume, "", fault.KindInternal, fault.MayHaveRun, "first chunk received")
 
-// head returns the request behind an id of this account.
-func (g *Gateway) head(ctx context.Context, a answer) (*record.Record, error) {
+// requestHead returns the record of the request that r is a response to, if it
+// belongs to the account of r. The record may lack the body.
+func (g *Gateway) requestHead(ctx context.Context, r response) (*record.Record, error) {
 	var head *record.Record
-	err := g.Relay.Follow(ctx, a.id, 0, func(c relay.Chunk) error {
-		if err := a.check(c); err != nil {
+	err := g.Relay.Follow(ctx, r.id, 0, func(c relay.Chunk) error {
+		if err := r.checkAccount(c); err != nil {
 			return err
 		}
 		head = c.Head
-		return errSeen
+		return errStopFollow
 	})
 	if head != nil {
 		return head, nil
