--- a/internal/table/bench_test.go
+++ b/internal/table/bench_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// BenchmarkRead is the cost of taking a new revision, by the number of rows.
+// BenchmarkDecodeAndView measures decoding a new revision and computing its View, by the
+// number of rows.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := testDocument()
 			for i := range n {
-				d.Rows = append(d.Rows, Row{Name: fmt.Sprintf("account-%04d", i), Cells: []Cell{{ColKind, string(KindAccount)}, {ColKey, someKey}, {ColWeight, "3"}, {ColLimitRate, "100"}}})
+				d.Rows = append(d.Rows, Row{Name: fmt.Sprintf("account-%04d", i), Cells: []Cell{{ColKind, string(KindAccount)}, {ColKey, testKeySHA256}, {ColWeight, "3"}, {ColLimitRate, "100"}}})
 			}
 			doc, err := d.Encode()
 			if err != nil {
--- a/internal/table/column.go
+++ b/internal/table/column.go
@@ -19,7 +19,7 @@
 	TypeDuration Type = "milliseconds"
 )
 
-// RowKind says what a row stands for.
+// RowKind is the kind of object that a row describes.
 type RowKind string
 
 // The kinds of row.
@@ -29,7 +29,7 @@
 )
 
 // DefaultRow is the row whose cells apply to each class and account that
-// leaves the cell empty. Cells that concern the whole system are read there.
+// leaves the cell empty. It also holds the system-wide settings.
 const DefaultRow = "default"
 
 // Column describes one column: its type, unit, range and meaning.
@@ -39,34 +39,34 @@
 	Unit    string
 	Min     float64
 	Max     float64
-	For     string // rows that use it: "account", "class", "both" or "default"
-	Default string
-	Help    string
+	For     string // rows that use the column: "account", "class", "both" or "default"
+	Default string // value where neither the row nor the default row has one
+	Help    string // description, printed in the operators' documentation
 }
 
 // Names of the columns.
 const (
-	ColKind       = "kind"
-	ColKey        = "key_sha256"
-	ColOperator   = "operator"
-	ColMatch      = "match"
-	ColModel      = "model"
-	ColWeight     = "weight"
-	ColPriority   = "priority"
-	ColLimitRate  = "limit_requests_per_s"
-	ColLimitToks  = "limit_tokens_per_s"
-	ColLimitOpen  = "limit_concurrent"
-	ColTarget     = "target_ms"
-	ColDeadline   = "deadline_ms"
-	ColMayBeLate  = "may_be_late"
-	ColRepeatable = "repeatable"
-	ColRecompute  = "recompute_price"
-	ColRetryShare = "retry_share"
-	ColStop       = "stop_deadline_ms"
-	ColRetention  = "retention_ms"
-	ColRecords    = "record_capacity"
-	ColMoveKV     = "move_kv"
-	ColPolicy     = "routing_policy"
+	ColKind         = "kind"
+	ColKey          = "key_sha256"
+	ColOperator     = "operator"
+	ColMatch        = "match"
+	ColModel        = "model"
+	ColWeight       = "weight"
+	ColPriority     = "priority"
+	ColLimitRate    = "limit_requests_per_s"
+	ColLimitToks    = "limit_tokens_per_s"
+	ColLimitOpen    = "limit_concurrent"
+	ColTarget       = "target_ms"
+	ColDeadline     = "deadline_ms"
+	ColMayBeLate    = "may_be_late"
+	ColRepeatable   = "repeatable"
+	ColRecompute    = "recompute_price"
+	ColRetryShare   = "retry_share"
+	ColStopDeadline = "stop_deadline_ms"
+	ColRetention    = "retention_ms"
+	ColRecords      = "record_capacity"
+	ColMoveKV       = "move_kv"
+	ColPolicy       = "routing_policy"
 )
 
 // Columns lists every column in the order in which it is shown.
@@ -87,7 +87,7 @@
 	{ColRepeatable, TypeBool, "", 0, 0, "class", "true", "Whether a call may run twice. If false it runs at most once."},
 	{ColRecompute, TypeFloat, "ms/token", 0, 100, "class", "0.05", "Price of recomputing one prompt token, as milliseconds of lateness."},
 	{ColRetryShare, TypeFloat, "share", 0, 1, "class", "0.2", "Retries allowed as a share of first tries."},
-	{ColStop, TypeDuration, "ms", 1000, 3600000, "default", "60000", "How long a planned stop waits for open streams before it moves them."},
+	{ColStopDeadline, TypeDuration, "ms", 1000, 3600000, "default", "60000", "How long a planned stop waits for open streams before it moves them."},
 	{ColRetention, TypeDuration, "ms", 1000, 86400000, "default", "600000", "How long after its deadline a request that may not be repeated is remembered."},
 	{ColRecords, TypeInt, "requests", 10, 1e6, "default", "20000", "Most request records one entry instance holds; over it new requests are refused."},
 	{ColMoveKV, TypeBool, "", 0, 0, "default", "true", "Whether a stream that leaves an endpoint takes its KV cache along."},
@@ -104,7 +104,8 @@
 	return Column{}, false
 }
 
-// Check reports why value is not allowed in the column; empty is allowed.
+// Check returns an error if value is not allowed in the column. An empty value
+// is allowed.
 func (c Column) Check(value string) error {
 	if value == "" {
 		return nil
@@ -137,7 +138,7 @@
 	return nil
 }
 
-const hexSHA256 = 64
+const sha256HexLength = 64
 
 func (c Column) checkText(value string) error {
 	switch c.Name {
@@ -150,21 +151,21 @@
 			return fmt.Errorf("%q does not begin with model/ or service/", value)
 		}
 	case ColKey:
-		if len(value) != hexSHA256 || strings.Trim(value, "0123456789abcdef") != "" {
+		if len(value) != sha256HexLength || strings.Trim(value, "0123456789abcdef") != "" {
 			return fmt.Errorf("not a SHA-256 in lower-case hex")
 		}
 	case ColPolicy:
 		switch value {
 		case "default", "round-robin", "least-loaded", "session-hash":
 		default:
-			return fmt.Errorf("%q is not a known policy", value)
+			return fmt.Errorf("%q is not a known routing policy", value)
 		}
 	}
 	return nil
 }
 
 func parseFloat(s string) float64 {
-	f, _ := strconv.ParseFloat(s, 64) // checked when the cell was accepted
+	f, _ := strconv.ParseFloat(s, 64) // cells are checked when they are edited
 	return f
 }
 
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,9 +1,11 @@
-// Package table is the operators' table: rows for client accounts and request
-// classes, typed columns, and edits that are checked and merged.
+// Package table implements the table that operators edit: rows for client
+// accounts and request classes, typed columns, and edits that are validated
+// before they are applied.
 //
-// The package is pure: no I/O and no clock. A Document is the stored form; a
-// View is the immutable form that decisions read. Documents are values that
-// one goroutine owns; Views may be shared.
+// A Document is the stored form, and a View the immutable, typed form that the
+// other packages read. Both are free of I/O; an Editor reads and writes the
+// Document in the key-value store. A Document must be used by one goroutine
+// only, a View may be shared.
 package table
 
 import (
@@ -19,7 +21,8 @@
 	Value  string `json:"value" toml:"value"`
 }
 
-// Row is one line of the table.
+// Row holds the settings of one client account or request class, or the
+// defaults.
 type Row struct {
 	Name  string `json:"name" toml:"name"`
 	Cells []Cell `json:"cells" toml:"cells"`
@@ -46,59 +49,61 @@
 	r.Cells = append(r.Cells, Cell{column, value})
 }
 
-// Op is the kind of an edit.
+// Op is the operation of an edit.
 type Op string
 
-// The kinds of edit.
+// The operations of edits.
 const (
-	OpSet    Op = "set"
-	OpAdd    Op = "add"
-	OpRemove Op = "remove"
+	OpSet    Op = "set"    // set a cell
+	OpAdd    Op = "add"    // add a row
+	OpRemove Op = "remove" // remove a row
 )
 
-// Edit is one change asked for by an operator.
+// Edit is one change of the table that an operator requested.
 type Edit struct {
-	ID     string `json:"id"` // chosen by the client; recognises an edit whose answer was lost
-	By     string `json:"by"` // account that asked for it
+	ID     string `json:"id"` // chosen by the client; identifies an edit that is retried
+	By     string `json:"by"` // client account of the operator
 	Op     Op     `json:"op"`
 	Row    string `json:"row"`
 	Column string `json:"column,omitempty"`
 	Value  string `json:"value,omitempty"`
-	Was    string `json:"was,omitempty"`     // value that the operator saw
-	HasWas bool   `json:"has_was,omitempty"` // whether Was is to be compared
-	Kind   string `json:"kind,omitempty"`    // kind of a row that is added
-	Force  bool   `json:"force,omitempty"`   // allows an edit that locks everyone out
+	Was    string `json:"was,omitempty"`     // value that the operator expects the cell to have
+	HasWas bool   `json:"has_was,omitempty"` // whether Expected is compared with the current value
+	Kind   string `json:"kind,omitempty"`    // RowKind of a row that is added
+	Force  bool   `json:"force,omitempty"`   // skips the check that the table stays usable
 }
 
 // Accepted is an edit that took effect, as kept in the audit trail.
 type Accepted struct {
 	Edit     Edit      `json:"edit"`
-	Old      string    `json:"old"`
+	Old      string    `json:"old"`      // value before; for OpRemove, the name of the row
 	Revision uint64    `json:"revision"` // revision of the table that the edit made
 	At       time.Time `json:"at"`       // wall clock of the entry instance that wrote it
 }
 
-// Document is the stored table. Revision grows by one with each edit; it is
-// the document's own count, so that a store which answers with an older value
-// or was restored from a copy is noticed.
+// Document is the stored table. Revision grows by one with each edit. It is
+// kept in the document, apart from the store's own revision of the key, so that
+// a store that returns an old value or was restored from a copy is detected.
 type Document struct {
 	Revision uint64     `json:"revision"`
 	Rows     []Row      `json:"rows"`
-	Recent   []Accepted `json:"recent"`             // newest last; the older ones are in the audit keys
+	Recent   []Accepted `json:"recent"`             // newest last; older ones are in the audit keys
 	Archived []uint64   `json:"archived,omitempty"` // first revision of each audit key, oldest first
 }
 
-// ConflictError says that the cell changed since the operator saw it.
+// ConflictError is the error of an edit of a cell that no longer has the value
+// that the operator expects, or of adding a row that exists. By is the client
+// account that made the last change.
 type ConflictError struct {
-	Row, Column, Saw, Now, By string
+	Row, Column, Expected, Current, By string
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("row %s column %s: you saw %q, it is now %q (changed by %s)", e.Row, e.Column, e.Saw, e.Now, e.By)
+	return fmt.Sprintf("row %s column %s: you saw %q, it is now %q (changed by %s)", e.Row, e.Column, e.Expected, e.Current, e.By)
 }
 
-// RejectedError says why an edit is not allowed.
+// RejectedError is the error of an edit that is not allowed.
 type RejectedError struct {
 	Row, Column, Reason string
 }
@@ -117,7 +122,7 @@
 	return &d, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the JSON form in which the document is stored.
 func (d *Document) Encode() ([]byte, error) {
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -139,8 +144,9 @@
 	return slices.IndexFunc(d.Rows, func(r Row) bool { return r.Name == name })
 }
 
-// Applied returns the accepted edit with this id, if it is still recent.
-func (d *Document) Applied(id string) (Accepted, bool) {
+// AcceptedEdit returns the accepted edit with this id, unless it has been moved
+// to an audit key.
+func (d *Document) AcceptedEdit(id string) (Accepted, bool) {
 	i := slices.IndexFunc(d.Recent, func(a Accepted) bool { return a.Edit.ID == id })
 	if i < 0 {
 		return Accepted{}, false
@@ -148,16 +154,17 @@
 	return d.Recent[i], true
 }
 
-// Apply returns the document that results from the edit, leaving d as it is.
-// It fails with a *ConflictError or a *RejectedError.
+// Apply returns the document that results from the edit and the edit's entry
+// in the audit trail, without changing d. Errors are of type *ConflictError or
+// *RejectedError.
 func (d *Document) Apply(e Edit, now time.Time) (*Document, Accepted, error) {
 	next := &Document{Revision: d.Revision + 1, Rows: slices.Clone(d.Rows), Recent: slices.Clone(d.Recent), Archived: d.Archived}
-	old, err := next.change(e)
+	old, err := next.applyToRows(e)
 	if err != nil {
 		return nil, Accepted{}, err
 	}
 	if !e.Force {
-		if err := next.safe(e); err != nil {
+		if err := next.checkUsable(e); err != nil {
 			return nil, Accepted{}, err
 		}
 	}
@@ -166,15 +173,16 @@
 	return next, acc, nil
 }
 
-func (d *Document) change(e Edit) (old string, err error) {
+// applyToRows applies e to the rows of d and returns the value before.
+func (d *Document) applyToRows(e Edit) (old string, err error) {
 	i := d.index(e.Row)
 	switch e.Op {
 	case OpAdd:
 		if i >= 0 {
-			return "", &ConflictError{Row: e.Row, Column: ColKind, Now: d.Rows[i].Get(ColKind), By: d.lastBy(e.Row, ColKind)}
+			return "", &ConflictError{Row: e.Row, Column: ColKind, Current: d.Rows[i].Get(ColKind), By: d.lastEditor(e.Row, ColKind)}
 		}
 		if e.Row == "" {
-			return "", &RejectedError{Row: e.Row, Reason: "a row needs a name"}
+			return "", &RejectedError{Row: e.Row, Reason: "the name of the row is empty"}
 		}
 		col, _ := FindColumn(ColKind)
 		if err := col.Check(e.Kind); err != nil || e.Kind == "" {
@@ -207,20 +215,21 @@
 		return "", &RejectedError{Row: e.Row, Column: e.Column, Reason: "no such column"}
 	}
 	if e.Column == ColKind {
-		return "", &RejectedError{Row: e.Row, Column: e.Column, Reason: "the kind of a row does not change; remove it and add another"}
+		return "", &RejectedError{Row: e.Row, Column: e.Column, Reason: "the kind of a row cannot be changed; remove the row and add it again"}
 	}
 	if err := col.Check(e.Value); err != nil {
 		return "", &RejectedError{Row: e.Row, Column: e.Column, Reason: err.Error()}
 	}
 	old := d.Rows[i].Get(e.Column)
 	if e.HasWas && e.Was != old {
-		return "", &ConflictError{Row: e.Row, Column: e.Column, Saw: e.Was, Now: old, By: d.lastBy(e.Row, e.Column)}
+		return "", &ConflictError{Row: e.Row, Column: e.Column, Expected: e.Was, Current: old, By: d.lastEditor(e.Row, e.Column)}
 	}
 	d.Rows[i].set(e.Column, e.Value)
 	return old, nil
 }
 
-func (d *Document) lastBy(row, column string) string {
+// lastEditor returns the client account that last changed a cell, or its row.
+func (d *Document) lastEditor(row, column string) string {
 	for _, a := range slices.Backward(d.Recent) {
 		if a.Edit.Row == row && (a.Edit.Column == column || a.Edit.Op != OpSet) {
 			return a.Edit.By
@@ -229,9 +238,9 @@
 	return "an earlier edit"
 }
 
-// safe refuses an edit after which no operator could edit the table again, or
-// no account had a weight.
-func (d *Document) safe(e Edit) error {
+// checkUsable rejects an edit after which no operator could edit the table
+// again, or the weights of all accounts would be zero.
+func (d *Document) checkUsable(e Edit) error {
 	operators, weight := 0, 0.0
 	for _, r := range d.Rows {
 		if r.Get(ColKind) != string(KindAccount) {
@@ -247,7 +256,7 @@
 		weight += parseFloat(w)
 	}
 	if operators == 0 {
-		return &RejectedError{Row: e.Row, Column: e.Column, Reason: "no operator could edit the table any more; -force allows it"}
+		return &RejectedError{Row: e.Row, Column: e.Column, Reason: "no operator could edit the table afterwards; -force allows it"}
 	}
 	if weight == 0 {
 		return &RejectedError{Row: e.Row, Column: e.Column, Reason: "all weights would be zero; -force allows it"}
@@ -255,8 +264,9 @@
 	return nil
 }
 
-// Diff returns the edits that lead from the rows of d to the wanted ones:
-// additions first, then cells, then removals.
+// Diff returns the edits that turn the rows of d into want. For each wanted row
+// it adds the row if it is missing and sets the cells that differ; rows that
+// are not wanted are removed last.
 func Diff(d *Document, want []Row) []Edit {
 	var edits []Edit
 	for _, w := range want {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-const someKey = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
+const testKeySHA256 = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
 func testDocument() *Document {
 	return &Document{Revision: 1, Rows: []Row{
 		{Name: DefaultRow, Cells: []Cell{{ColKind, string(KindClass)}}},
-		{Name: "ops", Cells: []Cell{{ColKind, string(KindAccount)}, {ColKey, someKey}, {ColOperator, "true"}}},
+		{Name: "ops", Cells: []Cell{{ColKind, string(KindAccount)}, {ColKey, testKeySHA256}, {ColOperator, "true"}}},
 		{Name: "unlock", Cells: []Cell{{ColKind, string(KindClass)}, {ColMatch, "service/cabinet/unlock"}, {ColRepeatable, "false"}}},
 	}}
 }
@@ -33,21 +33,22 @@
 		ID:  rapid.StringMatching(`[a-z]{8}`).Draw(t, "id"),
 		Op:  rapid.SampledFrom([]Op{OpSet, OpSet, OpSet, OpAdd, OpRemove, "nonsense"}).Draw(t, "op"),
 		Row: rapid.SampledFrom(rows).Draw(t, "row"), Column: rapid.SampledFrom(columns).Draw(t, "column"),
-		Value: rapid.SampledFrom([]string{"", "1", "0", "0.5", "-3", "1e9", "true", "false", "model/x", "text", someKey}).Draw(t, "value"),
+		Value: rapid.SampledFrom([]string{"", "1", "0", "0.5", "-3", "1e9", "true", "false", "model/x", "text", testKeySHA256}).Draw(t, "value"),
 		Kind:  rapid.SampledFrom([]string{"account", "class", "", "row"}).Draw(t, "kind"),
 		Force: rapid.Bool().Draw(t, "force"),
 	}
 }
 
-// An edit takes effect whole or not at all, leaves the document it was applied
-// to alone, and never leaves a table that cannot be read or edited.
+// Edits are atomic and do not change the document that they are applied to.
+// After any sequence of edits the table can be read, and without Force the key
+// of an operator stays valid.
 func TestEditsAreWholeAndSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := testDocument()
 		for range rapid.IntRange(1, 12).Draw(t, "edits") {
 			e := drawEdit(t)
 			before, _ := json.Marshal(d)
-			next, acc, err := d.Apply(e, t0)
+			next, acc, err := d.Apply(e, testTime)
 			after, _ := json.Marshal(d)
 			if string(before) != string(after) {
 				t.Fatalf("edit %+v changed the document it was applied to", e)
@@ -63,11 +64,11 @@
 			if next.Revision != d.Revision+1 || acc.Revision != next.Revision {
 				t.Fatalf("revision %d after %d", next.Revision, d.Revision)
 			}
-			if _, ok := next.Applied(e.ID); !ok {
-				t.Fatalf("accepted edit %s is not in the trail", e.ID)
+			if _, ok := next.AcceptedEdit(e.ID); !ok {
+				t.Fatalf("accepted edit %s is not in the audit trail", e.ID)
 			}
 			v := NewView(next)
-			if _, ok := v.Account(someKey); !ok && !e.Force {
+			if _, ok := v.Account(testKeySHA256); !ok && !e.Force {
 				t.Fatalf("edit %+v locked the operator out without force", e)
 			}
 			if e.Force {
@@ -82,34 +83,34 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d, want := testDocument(), testDocument()
 		for range rapid.IntRange(0, 8).Draw(t, "edits") {
-			if next, _, err := want.Apply(drawEdit(t), t0); err == nil {
+			if next, _, err := want.Apply(drawEdit(t), testTime); err == nil {
 				want = next
 			}
 		}
 		for _, e := range Diff(d, want.Rows) {
 			e.Force = true
-			next, _, err := d.Apply(e, t0)
+			next, _, err := d.Apply(e, testTime)
 			if err != nil {
 				t.Fatalf("edit %+v: %v", e, err)
 			}
 			d = next
 		}
 		if left := Diff(d, want.Rows); len(left) > 0 {
-			t.Fatalf("still to do: %+v", left)
+			t.Fatalf("edits left after the diff was applied: %+v", left)
 		}
 	})
 }
 
 func TestConflictShowsBothValues(t *testing.T) {
 	is := is.New(t)
-	d, _, err := testDocument().Apply(Edit{ID: "first", By: "ann", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "9"}, t0)
+	d, _, err := testDocument().Apply(Edit{ID: "first", By: "ann", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "9"}, testTime)
 	is.NoErr(err)
-	_, _, err = d.Apply(Edit{ID: "second", By: "bob", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "7", Was: "5", HasWas: true}, t0)
+	_, _, err = d.Apply(Edit{ID: "second", By: "bob", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "7", Was: "5", HasWas: true}, testTime)
 	var c *ConflictError
 	is.True(errors.As(err, &c))
-	is.Equal(*c, ConflictError{Row: "unlock", Column: ColPriority, Saw: "5", Now: "9", By: "ann"})
-	_, _, err = d.Apply(Edit{ID: "third", By: "bob", Op: OpSet, Row: "unlock", Column: ColTarget, Value: "70"}, t0)
-	is.NoErr(err) // another cell does not matter
+	is.Equal(*c, ConflictError{Row: "unlock", Column: ColPriority, Expected: "5", Current: "9", By: "ann"})
+	_, _, err = d.Apply(Edit{ID: "third", By: "bob", Op: OpSet, Row: "unlock", Column: ColTarget, Value: "70"}, testTime)
+	is.NoErr(err) // a change of another cell is no conflict
 }
 
 func TestClassIsTheLongestMatchAtABoundary(t *testing.T) {
@@ -139,7 +140,7 @@
 		NewView(d)
 		if again, err := d.Encode(); err == nil {
 			if e, err := Decode(again); err != nil || !reflect.DeepEqual(NewView(d).System, NewView(e).System) {
-				t.Fatalf("a document does not survive its encoding: %v", err)
+				t.Fatalf("document differs after encoding and decoding: %v", err)
 			}
 		}
 	})
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Account is the effective row of a client account.
+// Account is the row of a client account, with defaults for empty cells.
 type Account struct {
 	Name      string
 	KeySHA256 string
 	Operator  bool
 	Weight    float64
-	LimitRate float64 // requests per second over all entry instances; 0 is none
-	LimitToks float64 // tokens per second over all entry instances; 0 is none
-	LimitOpen int     // open requests over all entry instances; 0 is none
+	LimitRate float64 // requests per second over all entry instances; 0 means no limit
+	LimitToks float64 // tokens per second over all entry instances; 0 means no limit
+	LimitOpen int     // open requests over all entry instances; 0 means no limit
 }
 
-// Class is the effective row of a request class.
+// Class is the row of a request class, with defaults for empty cells. See
+// Columns for the meaning of each field.
 type Class struct {
 	Name       string
 	Match      string
 	Model      string
 	Priority   int
-	Target     time.Duration // a policy value; it becomes a deadline on arrival
-	Deadline   time.Duration // a policy value; it becomes a deadline on arrival
+	Target     time.Duration // latency target, from the arrival of a request
+	Deadline   time.Duration // from the arrival of a request that sets no deadline
 	MayBeLate  bool
 	Repeatable bool
-	Recompute  float64 // milliseconds of lateness per recomputed token
+	Recompute  float64 // cost of recomputing a prompt token, in milliseconds of lateness
 	RetryShare float64
 }
 
-// System is what the default row says about the whole system.
+// System holds the system-wide settings, which are in the default row.
 type System struct {
-	StopDeadline time.Duration
-	Retention    time.Duration
-	Records      int
-	MoveKV       bool
-	Policy       string
+	StopDeadline time.Duration // time for streams to finish before a planned stop moves them
+	Retention    time.Duration // of a request that may not be repeated, after its deadline
+	Records      int           // maximum number of request records at an entry instance
+	MoveKV       bool          // whether a stream that moves takes its KV cache along
+	Policy       string        // routing policy
 }
 
 // View is the immutable, typed form of a document.
@@ -44,12 +45,15 @@
 	Revision uint64
 	Doc      *Document
 	System   System
-	byKey    map[string]*Account // guarded by being immutable
+	byKey    map[string]*Account // by KeySHA256
 	classes  []*Class
-	weights  map[string]float64
+	weights  map[string]float64 // by name of the account
 }
 
-// NewView computes the effective rows of a document.
+// NewView returns the typed form of a document. An empty cell of an account or
+// class takes the value in the default row, or else the column's default; the
+// columns key_sha256, operator, match and model have no default. The View keeps
+// d, which must not be changed afterwards.
 func NewView(d *Document) *View {
 	v := &View{Revision: d.Revision, Doc: d, byKey: make(map[string]*Account), weights: make(map[string]float64)}
 	def, _ := d.Find(DefaultRow)
@@ -76,7 +80,7 @@
 		}
 	}
 	v.System = System{
-		StopDeadline: parseMillis(cell(def, ColStop)),
+		StopDeadline: parseMillis(cell(def, ColStopDeadline)),
 		Retention:    parseMillis(cell(def, ColRetention)),
 		Records:      int(parseFloat(cell(def, ColRecords))),
 		MoveKV:       parseBool(cell(def, ColMoveKV)),
@@ -85,6 +89,7 @@
 	return v
 }
 
+// cellFunc returns the value in a column of a row, or its default.
 type cellFunc func(r Row, column string) string
 
 func newAccount(r Row, cell cellFunc) *Account {
@@ -114,8 +119,9 @@
 	}
 }
 
-// Account returns the account whose key has this SHA-256, in hex. The look-up
-// is by hash: how long it takes says nothing about any key.
+// Account returns the account whose key has this SHA-256, in lower-case hex.
+// Keys are looked up by hash so that the time taken reveals nothing about valid
+// keys.
 func (v *View) Account(keySHA256 string) (*Account, bool) {
 	a, ok := v.byKey[keySHA256]
 	return a, ok
@@ -124,8 +130,8 @@
 // Weight returns the weight of an account by its name.
 func (v *View) Weight(account string) float64 { return v.weights[account] }
 
-// Class returns the class whose match is the longest prefix of path, which is
-// model/NAME or service/NAME/PATH.
+// Class returns the class whose match is the longest prefix of path, at path
+// boundaries. path has the form model/NAME or service/NAME/PATH.
 func (v *View) Class(path string) (*Class, bool) {
 	var best *Class
 	for _, c := range v.classes {
@@ -139,7 +145,7 @@
 	return best, best != nil
 }
 
-// ClassNamed returns the class of a row.
+// ClassByName returns the class with this row name.
 func (v *View) ClassNamed(name string) (*Class, bool) {
 	for _, c := range v.classes {
 		if c.Name == name {
@@ -149,8 +155,8 @@
 	return nil, false
 }
 
-// matches is a prefix match at path boundaries, so that service/till does not
-// take in service/tillage.
+// matches reports whether match is a prefix of path that ends at a path
+// boundary: service/till matches service/till/1 but not service/tillage.
 func matches(match, path string) bool {
 	rest, ok := strings.CutPrefix(path, match)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(match, "/"))
