--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,9 +1,9 @@
 // Package kv is the client of the platform's key-value service.
 //
-// The service offers compare-and-swap, time-limited keys and watches. It has
-// outages, and an answer can be lost after the write took effect: Put then
-// fails with ErrUnknown and the caller has to read the key again. Client is
-// safe for concurrent use.
+// The service offers compare-and-swap, keys that expire, and watches. It has
+// outages, and the response to a write can be lost after the write took effect:
+// Put then fails with ErrUnknownOutcome, and the caller has to read the key to
+// find out. Client is safe for concurrent use.
 package kv
 
 import (
@@ -21,37 +21,37 @@
 	"golang.org/x/time/rate"
 )
 
-// Errors of the service.
+// Errors of calls.
 var (
-	ErrConflict = errors.New("revision conflict")                  // nothing was written
-	ErrNotFound = errors.New("key not found")                      // the key has no value
-	ErrDown     = errors.New("store unavailable")                  // nothing was written
-	ErrUnknown  = errors.New("write outcome unknown")              // the write may have taken effect
-	ErrBudget   = errors.New("call budget of the store exhausted") // the call was not made
+	ErrConflict    = errors.New("revision conflict")                         // the key has another revision; nothing was written
+	ErrNotFound    = errors.New("key not found")                             // the key does not exist
+	ErrUnavailable = errors.New("store unavailable")                         // the service failed or was not reached; nothing was written
+	ErrUnknown     = errors.New("write outcome unknown")                     // the write may have taken effect
+	ErrRateLimited = errors.New("rate limit for calls of the store reached") // the call was not sent
 )
 
-// Entry is a value with the revision that wrote it.
+// Entry is a key's value with its revision, the number of the write that set it.
 type Entry struct {
 	Key      string
 	Value    []byte
 	Revision uint64
 }
 
-// Budget bounds how often the service is called.
-type Budget struct {
-	Reads  rate.Limit // calls per second; a waiting watch counts as one
-	Writes rate.Limit
+// RateLimits limits the rate of calls of the service.
+type RateLimits struct {
+	Reads  rate.Limit // calls per second; a watch counts as one call
+	Writes rate.Limit // calls per second
 }
 
-// FleetBudget is what all processes together may call at the most: half of
-// the service's rates, since others use it too.
-var FleetBudget = Budget{Reads: 1000, Writes: 50}
+// TotalRateLimits are the limits for all processes together: half of the rates
+// that the service allows, since it has other users.
+var FleetBudget = RateLimits{Reads: 1000, Writes: 50}
 
 const (
-	budgetBurst  = 20
-	callTimeout  = 2 * time.Second
-	watchTimeout = 20 * time.Second
-	maxValue     = 1 << 20
+	rateBurst     = 20 // calls
+	callTimeout   = 2 * time.Second
+	watchTimeout  = 20 * time.Second // after which the service ends a watch without a change
+	maxValueBytes = 1 << 20
 )
 
 // Client calls the service over HTTP.
@@ -60,53 +60,56 @@
 	http   *http.Client
 	reads  *rate.Limiter
 	writes *rate.Limiter
-	budget Budget
+	limits RateLimits
 }
 
-// New returns a client for the service at addr that calls through transport.
-// Until SetFleet is called the process has the whole budget.
-func New(addr netip.AddrPort, transport http.RoundTripper, b Budget) *Client {
+// New returns a client for the service at addr that sends calls through
+// transport. Until SetProcessCount is called, the process may use all of
+// limits.
+func New(addr netip.AddrPort, transport http.RoundTripper, limits RateLimits) *Client {
 	return &Client{
 		base:   "http://" + addr.String() + "/kv/",
 		http:   &http.Client{Transport: transport},
-		reads:  rate.NewLimiter(b.Reads, budgetBurst),
-		writes: rate.NewLimiter(b.Writes, budgetBurst),
-		budget: b,
+		reads:  rate.NewLimiter(limits.Reads, rateBurst),
+		writes: rate.NewLimiter(limits.Writes, rateBurst),
+		limits: limits,
 	}
 }
 
-// SetFleet gives this process its share of the budget among n processes.
+// SetProcessCount limits this process to an equal share of the limits among n
+// processes.
 func (c *Client) SetFleet(n int) {
-	c.reads.SetLimit(c.budget.Reads / rate.Limit(max(1, n)))
-	c.writes.SetLimit(c.budget.Writes / rate.Limit(max(1, n)))
+	c.reads.SetLimit(c.limits.Reads / rate.Limit(max(1, n)))
+	c.writes.SetLimit(c.limits.Writes / rate.Limit(max(1, n)))
 }
 
-// Get reads a key.
+// Get reads a key. It fails with ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
-	return c.read(ctx, key, "", callTimeout)
+	return c.readEntry(ctx, key, "", callTimeout)
 }
 
-// Watch waits until the revision of key is above after, or until the service
-// ends the wait: then it returns the entry as it is.
+// Watch waits until the revision of key is greater than after and returns the
+// entry. If the service ends the wait before, Watch returns the unchanged entry.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (Entry, error) {
 	q := "?after=" + strconv.FormatUint(after, 10) + "&wait_ms=" + strconv.Itoa(int(watchTimeout.Milliseconds()))
-	return c.read(ctx, key, q, watchTimeout+callTimeout)
+	return c.readEntry(ctx, key, q, watchTimeout+callTimeout)
 }
 
-// Put writes value if the key's revision is still expect; 0 means that the
-// key must not exist. A non-zero lapse makes the service delete the key then.
-func (c *Client) Put(ctx context.Context, key string, value []byte, expect uint64, lapse time.Time) (uint64, error) {
-	if len(value) > maxValue {
-		return 0, fmt.Errorf("put %s: value of %d bytes is over the service's limit", key, len(value))
+// Put writes value if the key's revision is expect, where 0 means that the key
+// must not exist, and returns the new revision. The service deletes the key at
+// expiry unless that is zero.
+func (c *Client) Put(ctx context.Context, key string, value []byte, expect uint64, expiry time.Time) (uint64, error) {
+	if len(value) > maxValueBytes {
+		return 0, fmt.Errorf("put %s: value of %d bytes is larger than the service allows", key, len(value))
 	}
 	if !c.writes.Allow() {
-		return 0, fmt.Errorf("put %s: %w", key, ErrBudget)
+		return 0, fmt.Errorf("put %s: %w", key, ErrRateLimited)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	q := "?expect=" + strconv.FormatUint(expect, 10)
-	if !lapse.IsZero() {
-		q += "&lapse=" + url.QueryEscape(lapse.Format(time.RFC3339Nano))
+	if !expiry.IsZero() {
+		q += "&lapse=" + url.QueryEscape(expiry.Format(time.RFC3339Nano))
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.base+url.PathEscape(key)+q, bytes.NewReader(value))
 	if err != nil {
@@ -123,15 +126,15 @@
 	case http.StatusConflict:
 		return 0, fmt.Errorf("put %s: %w", key, ErrConflict)
 	case http.StatusServiceUnavailable:
-		return 0, fmt.Errorf("put %s: %w", key, ErrDown)
+		return 0, fmt.Errorf("put %s: %w", key, ErrUnavailable)
 	default:
 		return 0, fmt.Errorf("put %s: %w: status %d", key, ErrUnknown, resp.StatusCode)
 	}
 }
 
-func (c *Client) read(ctx context.Context, key, query string, timeout time.Duration) (Entry, error) {
+func (c *Client) readEntry(ctx context.Context, key, query string, timeout time.Duration) (Entry, error) {
 	if err := c.reads.Wait(ctx); err != nil {
-		return Entry{}, fmt.Errorf("get %s: %w", key, ErrBudget)
+		return Entry{}, fmt.Errorf("get %s: %w", key, ErrRateLimited)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -141,7 +144,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Entry{}, fmt.Errorf("get %s: %w: %v", key, ErrDown, err)
+		return Entry{}, fmt.Errorf("get %s: %w: %v", key, ErrUnavailable, err)
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
@@ -149,15 +152,15 @@
 	case http.StatusNotFound:
 		return Entry{}, fmt.Errorf("get %s: %w", key, ErrNotFound)
 	default:
-		return Entry{}, fmt.Errorf("get %s: %w: status %d", key, ErrDown, resp.StatusCode)
+		return Entry{}, fmt.Errorf("get %s: %w: status %d", key, ErrUnavailable, resp.StatusCode)
 	}
-	value, err := io.ReadAll(io.LimitReader(resp.Body, maxValue+1))
+	value, err := io.ReadAll(io.LimitReader(resp.Body, maxValueBytes+1))
 	if err != nil {
-		return Entry{}, fmt.Errorf("get %s: %w: %v", key, ErrDown, err)
+		return Entry{}, fmt.Errorf("get %s: %w: %v", key, ErrUnavailable, err)
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get("Revision"), 10, 64)
 	if err != nil {
-		return Entry{}, fmt.Errorf("get %s: %w: revision %q", key, ErrDown, resp.Header.Get("Revision"))
+		return Entry{}, fmt.Errorf("get %s: %w: revision %q", key, ErrUnavailable, resp.Header.Get("Revision"))
 	}
 	return Entry{Key: key, Value: value, Revision: rev}, nil
 }
--- a/internal/table/store.go
+++ b/internal/table/store.go
@@ -80,7 +80,7 @@
 		cur, err := e.Read(ctx)
 		switch {
 		case err == nil && cur.Doc.Revision < minRevision:
-			err = fmt.Errorf("%w: it returned table revision %d, but revision %d is in use", kv.ErrDown, cur.Doc.Revision, minRevision)
+			err = fmt.Errorf("%w: it returned table revision %d, but revision %d is in use", kv.ErrUnavailable, cur.Doc.Revision, minRevision)
 			fallthrough
 		case err != nil:
 			if !unresolved || waitForRetry(ctx) != nil {
@@ -106,7 +106,7 @@
 			return acc, Stored{next, rev}, nil
 		case errors.Is(err, kv.ErrUnknown):
 			unresolved, lostRevision = true, cur.Revision
-		case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrBudget):
+		case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrRateLimited):
 		default:
 			if !unresolved {
 				return fail(err)
