--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,9 +1,9 @@
-// Package keys makes and loads the certificates of entry instances.
+// Package keys creates and loads the TLS certificates of entry instances.
 //
-// Files are read again when they change, so that a certificate is replaced
-// without a restart. Peers show each other certificates of the deployment's
-// own authority; callers only see the instance's. A Loader is safe for
-// concurrent use.
+// A Loader reloads the files when they change, so that a certificate can be
+// replaced without a restart. Entry instances authenticate each other by
+// certificates that the deployment's own certificate authority signed; clients
+// are not asked for a certificate. A Loader is safe for concurrent use.
 package keys
 
 import (
@@ -16,65 +16,66 @@
 	"time"
 )
 
-// EntryName is the DNS name that certificates of entry instances carry. Peers
-// are reached by address, so it is this name that a peer's certificate is
-// checked for.
-const EntryName = "entry.shelfcrank.internal"
+// EntryDNSName is the DNS name in the certificates of all entry instances.
+// Peers are dialled by address, so a peer's certificate is verified for this
+// name.
+const EntryDNSName = "entry.shelfcrank.internal"
 
-const recheckEvery = time.Second
+const recheckInterval = time.Second
 
-// Files names the files of an instance's certificates.
+// Files holds the paths of an instance's PEM files.
 type Files struct {
-	Authority string
-	Cert      string
-	Key       string
+	Authority string // certificate of the authority that signs peers' certificates
+	Cert      string // the instance's certificate
+	Key       string // private key of Cert
 }
 
-// material is what was read from the files. It is immutable.
-type material struct {
+// credentials is the parsed content of Files. It is immutable.
+type credentials struct {
 	cert *tls.Certificate
 	pool *x509.CertPool
 }
 
-// Loader holds the newest certificates.
+// Loader holds the certificates that were last loaded from the files.
 type Loader struct {
 	files Files
 
-	mu      sync.Mutex
-	current *material // guarded by mu
-	stamp   string    // modification times of what was read; guarded by mu
-	checked time.Time // guarded by mu
-	failed  error     // why the newest files could not be read; guarded by mu
+	mu        sync.Mutex
+	current   *credentials // guarded by mu
+	modTimes  string       // modification times of the files that current was read from; guarded by mu
+	checkedAt time.Time    // guarded by mu
+	reloadErr error        // of the last attempt to reload; guarded by mu
 }
 
-// NewLoader reads the files.
+// NewLoader loads the files.
 func NewLoader(f Files) (*Loader, error) {
 	l := &Loader{files: f}
-	m, err := read(f)
+	m, err := loadFiles(f)
 	if err != nil {
 		return nil, err
 	}
-	l.current, l.checked, l.stamp = m, time.Now(), stamp(f)
+	l.current, l.checkedAt, l.modTimes = m, time.Now(), modTimes(f)
 	return l, nil
 }
 
-func read(f Files) (*material, error) {
+func loadFiles(f Files) (*credentials, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
-		return nil, fmt.Errorf("certificate: %w", err)
+		return nil, fmt.Errorf("load certificate: %w", err)
 	}
 	pem, err := os.ReadFile(f.Authority)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("read authority certificate: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, fmt.Errorf("authority: no certificate in %s", f.Authority)
 	}
-	return &material{&cert, pool}, nil
+	return &credentials{&cert, pool}, nil
 }
 
-func stamp(f Files) string {
+// modTimes returns the modification times of the files that exist.
+func modTimes(f Files) string {
 	s := ""
 	for _, name := range []string{f.Authority, f.Cert, f.Key} {
 		if info, err := os.Stat(name); err == nil {
@@ -84,68 +85,73 @@
 	return s
 }
 
-// get returns the newest material that could be read whole. While a file is
-// being replaced and does not fit the others, the one before stays in use.
-func (l *Loader) get() *material {
+// latest returns the current credentials, after reloading the files if they
+// have changed; it looks for changes once per recheckInterval. If a reload
+// fails, for instance because only one of certificate and key has been replaced
+// so far, the previous credentials stay in use.
+func (l *Loader) latest() *credentials {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(l.checked) < recheckEvery {
+	if now.Sub(l.checkedAt) < recheckInterval {
 		return l.current
 	}
-	l.checked = now
-	s := stamp(l.files)
-	if s == l.stamp {
+	l.checkedAt = now
+	s := modTimes(l.files)
+	if s == l.modTimes {
 		return l.current
 	}
-	m, err := read(l.files)
-	l.failed = err
+	m, err := loadFiles(l.files)
+	l.reloadErr = err
 	if err == nil {
-		l.current, l.stamp = m, s
+		l.current, l.modTimes = m, s
 	}
 	return l.current
 }
 
-// Failed returns why the newest files could not be read, or nil.
-func (l *Loader) Failed() error {
+// ReloadError returns the error of the last reload, or nil if it succeeded.
+func (l *Loader) ReloadError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failed
+	return l.reloadErr
 }
 
-// Callers returns the configuration towards callers and operators.
+// PublicConfig returns the TLS configuration of the listener for clients and
+// operators.
 func (l *Loader) Callers() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return l.get().cert, nil
+			return l.latest().cert, nil
 		},
 	}
 }
 
-// Peers returns the configuration between entry instances, for both sides.
-// Each side checks the other against the authority as it is at that moment,
-// which the standard check cannot do with a pool that changes: that is why it
-// is replaced by verify.
+// PeerConfig returns the TLS configuration for connections between entry
+// instances, for both sides. The certificate pool of a tls.Config is fixed, so
+// verify replaces the standard verification: it checks the peer against the
+// authority that is loaded at the time of the handshake.
 func (l *Loader) Peers() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ClientAuth:         tls.RequireAnyClientCert,
 		InsecureSkipVerify: true,
-		ServerName:         EntryName,
+		ServerName:         EntryDNSName,
 		VerifyConnection:   l.verify,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return l.get().cert, nil
+			return l.latest().cert, nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return l.get().cert, nil
+			return l.latest().cert, nil
 		},
 	}
 }
 
-var errNoCertificate = errors.New("the peer shows no certificate")
+var errNoCertificate = errors.New("peer sent no certificate")
 
+// verify checks that the peer's certificate is signed by the authority and has
+// the name EntryDNSName.
 func (l *Loader) verify(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
 		return errNoCertificate
@@ -155,11 +161,11 @@
 		chain.AddCert(c)
 	}
 	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
-		DNSName: EntryName, Roots: l.get().pool, Intermediates: chain,
+		DNSName: EntryDNSName, Roots: l.latest().pool, Intermediates: chain,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	})
 	if err != nil {
-		return fmt.Errorf("peer's certificate: %w", err)
+		return fmt.Errorf("verify peer certificate: %w", err)
 	}
 	return nil
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -32,7 +32,8 @@
 	return l
 }
 
-// handshake returns the serial that the client saw and the errors of both sides.
+// handshake runs a TLS handshake over a pipe. It returns the serial number of
+// the certificate that the client received and the errors of both sides.
 func handshake(client, server *tls.Config) (serial string, clientErr, serverErr error) {
 	a, b := net.Pipe()
 	defer a.Close()
@@ -62,16 +63,16 @@
 	is := is.New(t)
 	ours, theirs := t.TempDir(), t.TempDir()
 	a, b := load(t, makeFiles(t, ours, "a")), load(t, makeFiles(t, ours, "b"))
-	stranger := load(t, makeFiles(t, theirs, "a"))
+	foreign := load(t, makeFiles(t, theirs, "a"))
 	_, clientErr, serverErr := handshake(a.Peers(), b.Peers())
 	is.NoErr(clientErr)
 	is.NoErr(serverErr)
-	_, _, serverErr = handshake(stranger.Peers(), b.Peers())
-	is.True(serverErr != nil) // a stranger is refused
-	_, clientErr, _ = handshake(a.Peers(), stranger.Peers())
-	is.True(clientErr != nil) // and not spoken to
+	_, _, serverErr = handshake(foreign.Peers(), b.Peers())
+	is.True(serverErr != nil) // a client with a certificate of another authority is rejected
+	_, clientErr, _ = handshake(a.Peers(), foreign.Peers())
+	is.True(clientErr != nil) // so is the accepting side with one
 	_, _, serverErr = handshake(&tls.Config{InsecureSkipVerify: true}, b.Peers())
-	is.True(serverErr != nil) // nor one without a certificate
+	is.True(serverErr != nil) // a client without a certificate is rejected
 }
 
 func TestCertificatesAreReadAgain(t *testing.T) {
@@ -79,10 +80,10 @@
 	dir := t.TempDir()
 	a, b := load(t, makeFiles(t, dir, "a")), load(t, makeFiles(t, dir, "b"))
 	before, _, _ := handshake(a.Peers(), b.Peers())
-	time.Sleep(10 * time.Millisecond) // another modification time
+	time.Sleep(10 * time.Millisecond) // so that the modification time differs
 	makeFiles(t, dir, "b")
-	b.checked = time.Time{} // the next look is due
+	b.checkedAt = time.Time{} // make the next call check the files
 	after, _, _ := handshake(a.Peers(), b.Peers())
 	is.True(before != after)
-	is.NoErr(b.Failed())
+	is.NoErr(b.ReloadError())
 }
--- a/internal/keys/make.go
+++ b/internal/keys/make.go
@@ -16,20 +16,21 @@
 	"time"
 )
 
-// Names of the files of an authority.
+// Names of the files that MakeAuthority creates.
 const (
 	AuthorityCert = "authority.pem"
 	AuthorityKey  = "authority-key.pem"
 )
 
 const (
-	serialBits = 120
-	backdated  = time.Hour // for clocks that are behind
-	privateMod = 0o600
-	publicMod  = 0o644
+	serialBits      = 120
+	backdating      = time.Hour // age of a new certificate, so that it is valid for peers whose clocks are behind
+	privateFileMode = 0o600
+	publicFileMode  = 0o644
 )
 
-// MakeAuthority makes a development authority in a folder unless there is one.
+// MakeAuthority creates a certificate authority for development in dir, valid
+// until the given time. It does nothing if dir has an authority's key already.
 func MakeAuthority(dir string, until time.Time) error {
 	if _, err := os.Stat(filepath.Join(dir, AuthorityKey)); err == nil {
 		return nil
@@ -38,7 +39,7 @@
 	if err != nil {
 		return fmt.Errorf("authority key: %w", err)
 	}
-	t, err := template("shelfcrank development authority", until)
+	t, err := certificateTemplate("shelfcrank development authority", until)
 	if err != nil {
 		return err
 	}
@@ -51,8 +52,8 @@
 	return writePair(dir, AuthorityCert, AuthorityKey, der, key)
 }
 
-// MakeEntry makes a certificate for an entry instance, signed by the
-// authority in the same folder: NAME.pem and NAME-key.pem.
+// MakeEntryCertificate creates a key and a certificate for an entry instance in
+// dir: NAME-key.pem and NAME.pem. The authority in the same directory signs it.
 func MakeEntry(dir, name string, addrs []netip.Addr, until time.Time) error {
 	caCert, caKey, err := loadAuthority(dir)
 	if err != nil {
@@ -62,11 +63,11 @@
 	if err != nil {
 		return fmt.Errorf("key of %s: %w", name, err)
 	}
-	t, err := template(name, until)
+	t, err := certificateTemplate(name, until)
 	if err != nil {
 		return err
 	}
-	t.DNSNames = []string{EntryName}
+	t.DNSNames = []string{EntryDNSName}
 	t.KeyUsage = x509.KeyUsageDigitalSignature
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	for _, a := range addrs {
@@ -79,17 +80,21 @@
 	return writePair(dir, name+".pem", name+"-key.pem", der, key)
 }
 
-func template(name string, until time.Time) (*x509.Certificate, error) {
+// certificateTemplate returns a certificate with the fields that all
+// certificates share.
+func certificateTemplate(name string, until time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, fmt.Errorf("serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-backdated), NotAfter: until,
+		NotBefore: time.Now().Add(-backdating), NotAfter: until,
 	}, nil
 }
 
+// loadAuthority reads the certificate and the private key of the authority in
+// dir.
 func loadAuthority(dir string) (*x509.Certificate, any, error) {
 	certBlock, err := readPEM(filepath.Join(dir, AuthorityCert))
 	if err != nil {
@@ -117,22 +122,22 @@
 	}
 	block, _ := pem.Decode(b)
 	if block == nil {
-		return nil, fmt.Errorf("authority: no PEM in %s", file)
+		return nil, fmt.Errorf("authority: no PEM block in %s", file)
 	}
 	return block.Bytes, nil
 }
 
-// writePair writes a certificate and its key, each by a rename, so that a
-// reader never sees half a file.
+// writePair writes a certificate and its key. Each file is replaced by a
+// rename, so that a reader never sees a partly written one.
 func writePair(dir, certName, keyName string, der []byte, key *ecdsa.PrivateKey) error {
 	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return fmt.Errorf("encode key: %w", err)
 	}
-	if err := writePEM(filepath.Join(dir, keyName), "PRIVATE KEY", pkcs8, privateMod); err != nil {
+	if err := writePEM(filepath.Join(dir, keyName), "PRIVATE KEY", pkcs8, privateFileMode); err != nil {
 		return err
 	}
-	return writePEM(filepath.Join(dir, certName), "CERTIFICATE", der, publicMod)
+	return writePEM(filepath.Join(dir, certName), "CERTIFICATE", der, publicFileMode)
 }
 
 func writePEM(file, kind string, der []byte, mode os.FileMode) error {
