--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -9,7 +9,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/record"
 )
 
-// Nanos returns the wire form of a time; 0 is the zero time.
+// ToUnixNano returns the wire form of a time: nanoseconds since the Unix epoch,
+// or 0 for the zero time.
 func Nanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -17,8 +18,9 @@
 	return t.UnixNano()
 }
 
-// Time returns the time of a wire form. It has no monotonic part, so that
-// comparisons go by the wall clock, also across a pause of the machine.
+// FromUnixNano returns the time of a wire form. The result has no monotonic
+// clock reading, so that comparisons use the wall clock, which goes on while the
+// instance is suspended.
 func Time(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
@@ -31,7 +33,7 @@
 	return &peerpb.Failure{Run: int32(e.Run), Kind: int32(e.Kind), Step: string(e.Step), Text: e.Error(), RetryAt: Nanos(e.RetryAt)}
 }
 
-// FromFailure returns the error of a wire form that came from a peer.
+// FromFailure returns the error of a wire form that was received from a peer.
 func FromFailure(f *peerpb.Failure, from string) *fault.Error {
 	return &fault.Error{Step: fault.Step(f.Step), Peer: from, Kind: fault.Kind(f.Kind), Run: fault.Run(f.Run), RetryAt: Time(f.RetryAt), Err: errors.New(f.Text)}
 }
@@ -48,7 +50,8 @@
 	return out
 }
 
-// FromResult returns the result of a wire form; nil stays nil.
+// FromResult returns the result of a wire form that was received from a peer;
+// nil stays nil.
 func FromResult(r *peerpb.Result, from string) *record.Result {
 	if r == nil {
 		return nil
@@ -60,7 +63,8 @@
 	return out
 }
 
-// ToRecord returns the wire form of a record with its progress.
+// ToRecord returns the wire form of a record, including the tokens and the
+// result that it has so far.
 func ToRecord(r *record.Record) *peerpb.Record {
 	p, _ := r.Progress(0)
 	return &peerpb.Record{
@@ -72,14 +76,15 @@
 	}
 }
 
-// ToHead returns the wire form without the body and the progress.
+// ToHead returns the wire form of a record without the request body, the tokens
+// and the result.
 func ToHead(r *record.Record) *peerpb.Record {
 	head := ToRecord(r)
 	head.Body, head.Tokens, head.Result = nil, nil, nil
 	return head
 }
 
-// FromRecord returns the record of a wire form.
+// FromRecord returns the record of a wire form that was received from a peer.
 func FromRecord(m *peerpb.Record, from string) *record.Record {
 	r := record.New(record.Request{
 		ID: m.Id, Account: m.Account, Class: m.Class, Kind: record.Kind(m.Kind), Target: m.Target,
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer carries calls between entry instances: one yamux session to
-// each instance spoken to, made when first needed, and one stream of it for
-// each call.
+// Package peer is the RPC transport between entry instances. It dials one yamux
+// session to each peer when the first call is made and uses one stream per
+// call.
 //
-// Node is safe for concurrent use.
+// Transport is safe for concurrent use.
 package peer
 
 import (
@@ -28,27 +28,27 @@
 	"github.com/shelfcrank/shelfcrank/internal/peerpb"
 )
 
-// Handler answers the calls of other instances. Answer sends one answer; for
-// most calls it is used once.
+// Handler handles calls of other instances. Each call of answer sends one
+// response; most calls have exactly one. An error is sent as a failure.
 type Handler interface {
 	Handle(ctx context.Context, call *peerpb.Call, answer func(*peerpb.Answer) error) error
 }
 
 const (
-	writeTimeout = 2 * time.Second
-	closeTimeout = 5 * time.Second
-	backlog      = 1024
-	idleAfter    = 2 * time.Minute
-	maxMessage   = 16 << 20
-	// silentAfter is how long a session may leave calls unanswered until the next one
-	// that fails closes it: a connection may go silent without a reset, while a new one
-	// works. The longest call that waits for news is answered in 0.4 s.
-	silentAfter = time.Second
+	writeTimeout       = 2 * time.Second
+	closeTimeout       = 5 * time.Second
+	acceptBacklog      = 1024 // streams that a session queues before they are accepted
+	sessionIdleTimeout = 2 * time.Minute
+	maxMessageBytes    = 16 << 20
+	// unresponsiveAfter is the time without a response after which a failed call
+	// closes the session. A connection can stop delivering data without a reset,
+	// while a new one works. Calls that wait for changes get a response within 0.4 s.
+	unresponsiveAfter = time.Second
 )
 
-// Instance dials and serves sessions.
+// Transport makes calls to other instances and serves theirs.
 type Instance struct {
-	self    string
+	self    string // name of this instance, sent as the source of each call
 	net     netx.Network
 	tls     *tls.Config // nil for plain text
 	clock   *clock.Clock
@@ -57,35 +57,38 @@
 	mu       sync.Mutex
 	sessions map[netip.AddrPort]*session // guarded by mu
 
-	sent atomic.Int64 // bytes
-	got  atomic.Int64 // bytes
+	sent     atomic.Int64 // bytes
+	received atomic.Int64 // bytes
 
 	traffic traffic
 }
 
+// session is a yamux session that this instance dials.
 type session struct {
-	ready  chan struct{} // closed when mux or err is set
-	mux    *yamux.Session
-	err    error
-	usedAt atomic.Int64 // Unix nanoseconds
-	asked  atomic.Int64 // when the first call since the last answer was made, Unix nanoseconds; 0 if none was
+	ready           chan struct{} // closed when mux or err is set
+	mux             *yamux.Session
+	err             error
+	usedAt          atomic.Int64 // Unix nanoseconds
+	unansweredSince atomic.Int64 // time of the first call since the last response, Unix nanoseconds; 0 if there was none
 }
 
-// New returns a node that calls itself self. The clock may be nil.
+// New returns a transport for the instance named self. Without tlsConfig,
+// connections are not encrypted. The clock may be nil.
 func New(n netx.Network, self string, tlsConfig *tls.Config, c *clock.Clock) *Instance {
 	return &Instance{self: self, clock: c, net: n, tls: tlsConfig, sessions: make(map[netip.AddrPort]*session), traffic: traffic{flows: make(map[Flow]Volume)}}
 }
 
-// SetHandler sets who answers; it is called before Serve.
-func (n *Instance) SetHandler(h Handler) { n.handler = h }
+// SetHandler sets the handler of calls. It must be called before Serve.
+func (t *Instance) SetHandler(h Handler) { t.handler = h }
 
-// Bytes returns how many bytes were sent to and got from peers.
-func (n *Instance) Bytes() (sent, got int64) { return n.sent.Load(), n.got.Load() }
+// Bytes returns the number of bytes sent to and received from peers, on dialled
+// and accepted sessions. It includes the frame headers of yamux but not TLS.
+func (t *Instance) Bytes() (sent, received int64) { return t.sent.Load(), t.received.Load() }
 
-func config() *yamux.Config {
+func sessionConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.AcceptBacklog = backlog
-	c.EnableKeepAlive = false // heartbeats show whether a peer lives
+	c.AcceptBacklog = acceptBacklog
+	c.EnableKeepAlive = false // heartbeats detect failed peers
 	c.ConnectionWriteTimeout = writeTimeout
 	c.StreamOpenTimeout = 0
 	c.StreamCloseTimeout = closeTimeout
@@ -93,8 +96,9 @@
 	return c
 }
 
-// Serve answers calls on a listener until ctx ends.
-func (n *Instance) Serve(ctx context.Context, l net.Listener) error {
+// Serve handles calls on a listener until ctx ends or the listener fails, and
+// waits for the handlers to return.
+func (t *Instance) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	var wait sync.WaitGroup
@@ -107,15 +111,17 @@
 			}
 			return fmt.Errorf("accept peers: %w", err)
 		}
-		wait.Go(func() { n.serveConn(ctx, c) })
+		wait.Go(func() { t.serveConn(ctx, c) })
 	}
 }
 
-func (n *Instance) serveConn(ctx context.Context, c net.Conn) {
-	if n.tls != nil {
-		c = tls.Server(c, n.tls)
+// serveConn handles the calls on an accepted connection until it is closed or
+// ctx ends.
+func (t *Instance) serveConn(ctx context.Context, c net.Conn) {
+	if t.tls != nil {
+		c = tls.Server(c, t.tls)
 	}
-	s, err := yamux.Server(n.counted(c), config())
+	s, err := yamux.Server(t.countBytes(c), sessionConfig())
 	if err != nil {
 		_ = c.Close()
 		return
@@ -131,14 +137,15 @@
 		if err != nil {
 			return
 		}
-		wait.Go(func() { n.serveStream(ctx, stream) })
+		wait.Go(func() { t.serveStream(ctx, stream) })
 	}
 }
 
-func (n *Instance) serveStream(ctx context.Context, stream *yamux.Stream) {
+// serveStream handles the one call of a stream.
+func (t *Instance) serveStream(ctx context.Context, stream *yamux.Stream) {
 	defer stream.Close()
 	var call peerpb.Call
-	if err := read(bufio.NewReader(stream), &call); err != nil {
+	if err := readMessage(bufio.NewReader(stream), &call); err != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -148,73 +155,76 @@
 		_, err := protodelim.MarshalTo(stream, a)
 		return err
 	}
-	if err := n.handler.Handle(ctx, &call, answer); err != nil {
+	if err := t.handler.Handle(ctx, &call, answer); err != nil {
 		_ = answer(&peerpb.Answer{Body: &peerpb.Answer_Failure{Failure: ToFailure(fault.As(err))}})
 	}
 }
 
-func read(r *bufio.Reader, m proto.Message) error {
-	return protodelim.UnmarshalOptions{MaxSize: maxMessage}.UnmarshalFrom(r, m)
+// readMessage reads a message that is preceded by its length.
+func readMessage(r *bufio.Reader, m proto.Message) error {
+	return protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}.UnmarshalFrom(r, m)
 }
 
-// Call makes a call and returns its one answer. One that came after the time of ctx is none,
-// also where the machine was suspended meanwhile and ctx has time left: what the peer said of
-// that moment is not so any more.
-func (n *Instance) Call(ctx context.Context, addr netip.AddrPort, call *peerpb.Call) (*peerpb.Answer, error) {
+// Call makes a call and returns its first response. A response that is received
+// after the deadline of ctx is discarded. The deadline is checked on the clock
+// of t, which goes on while the instance is suspended: the timer of ctx does not,
+// and a response from before a suspension is out of date.
+func (t *Instance) Call(ctx context.Context, addr netip.AddrPort, call *peerpb.Call) (*peerpb.Answer, error) {
 	var got *peerpb.Answer
-	latest := n.latest(ctx)
-	err := n.Follow(ctx, addr, call, func(a *peerpb.Answer) (bool, error) {
+	deadline := t.callDeadline(ctx)
+	err := t.Follow(ctx, addr, call, func(a *peerpb.Answer) (bool, error) {
 		got = a
 		return false, nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	if !latest.IsZero() && n.clock.Now().After(latest) {
-		return nil, n.broke(addr, "receive", errLate)
+	if !deadline.IsZero() && t.clock.Now().After(deadline) {
+		return nil, t.callError(addr, "receive", errLateResponse)
 	}
 	return got, nil
 }
 
-var errLate = errors.New("the answer came after its time")
+var errLateResponse = errors.New("response received after the deadline of the call")
 
-// latest returns when a call's time is over, zero if that is open.
-func (n *Instance) latest(ctx context.Context) time.Time {
+// callDeadline returns the deadline of ctx on the clock of t, or zero if it has
+// none.
+func (t *Instance) callDeadline(ctx context.Context) time.Time {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return time.Time{}
 	}
-	return n.clock.Now().Add(time.Until(end))
+	return t.clock.Now().Add(time.Until(end))
 }
 
-// Follow makes a call and hands each of its answers to each, until that
-// returns false or an error.
-func (n *Instance) Follow(ctx context.Context, addr netip.AddrPort, call *peerpb.Call, each func(*peerpb.Answer) (bool, error)) error {
-	stream, s, err := n.open(ctx, addr)
+// Follow makes a call and calls each with every response, until each returns
+// false or an error, the call fails or ctx ends.
+func (t *Instance) Follow(ctx context.Context, addr netip.AddrPort, call *peerpb.Call, each func(*peerpb.Answer) (bool, error)) error {
+	stream, s, err := t.openStream(ctx, addr)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	s.asked.CompareAndSwap(0, n.clock.Now().UnixNano())
+	s.unansweredSince.CompareAndSwap(0, t.clock.Now().UnixNano())
 	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	call.From = n.self
+	call.From = t.self
 	sent, err := protodelim.MarshalTo(stream, call)
 	if err != nil {
-		return n.broke(addr, "send", err)
+		return t.callError(addr, "send", err)
 	}
 	counted := &countingReader{Reader: stream}
 	defer func() {
-		n.traffic.add(addr, call, Volume{Calls: 1, Sent: int64(sent), Received: counted.n})
+		t.traffic.add(addr, call, Volume{Calls: 1, Sent: int64(sent), Received: counted.n})
 	}()
 	r := bufio.NewReader(counted)
 	for {
 		var a peerpb.Answer
-		if err := read(r, &a); err != nil {
-			n.suspect(addr, s)
-			return n.broke(addr, "receive", errors.Join(err, ctx.Err()))
+		if err := readMessage(r, &a); err != nil {
+			t.dropIfUnresponsive(addr, s)
+			return t.callError(addr, "receive", errors.Join(err, ctx.Err()))
 		}
-		s.asked.Store(0)
+		s.unansweredSince.Store(0)
 		if f := a.GetFailure(); f != nil {
 			return FromFailure(f, addr.String())
 		}
@@ -225,46 +235,51 @@
 	}
 }
 
-func (n *Instance) broke(addr netip.AddrPort, what string, err error) error {
+// callError returns the error of a call that failed after it may have been sent.
+func (t *Instance) callError(addr netip.AddrPort, what string, err error) error {
 	return fault.New(fault.StepPeer, addr.String(), fault.KindBroken, fault.MayHaveRun, "%s: %w", what, err)
 }
 
-// suspect closes a session that has left calls unanswered for long.
-func (n *Instance) suspect(addr netip.AddrPort, s *session) {
-	asked := s.asked.Load()
-	if asked != 0 && n.clock.Now().UnixNano()-asked > int64(silentAfter) {
-		n.drop(addr, s)
+// dropIfUnresponsive closes a session on which calls have had no response for
+// more than unresponsiveAfter.
+func (t *Instance) dropIfUnresponsive(addr netip.AddrPort, s *session) {
+	since := s.unansweredSince.Load()
+	if since != 0 && t.clock.Now().UnixNano()-since > int64(unresponsiveAfter) {
+		t.dropSession(addr, s)
 	}
 }
 
-func (n *Instance) open(ctx context.Context, addr netip.AddrPort) (*yamux.Stream, *session, error) {
-	for range 2 { // a kept session may turn out to be closed; then a new one is made
-		s, err := n.session(ctx, addr)
+// openStream opens a stream to a peer. It dials a new session if there is none
+// or the existing one turns out to be closed.
+func (t *Instance) openStream(ctx context.Context, addr netip.AddrPort) (*yamux.Stream, *session, error) {
+	for range 2 { // the first session may be a closed one
+		s, err := t.session(ctx, addr)
 		if err != nil {
 			return nil, nil, fault.New(fault.StepPeer, addr.String(), fault.KindRefused, fault.NotRun, "dial: %w", err)
 		}
 		stream, err := s.mux.OpenStream()
 		if err == nil {
-			s.usedAt.Store(n.clock.Now().UnixNano())
+			s.usedAt.Store(t.clock.Now().UnixNano())
 			return stream, s, nil
 		}
-		n.drop(addr, s)
+		t.dropSession(addr, s)
 	}
 	return nil, nil, fault.New(fault.StepPeer, addr.String(), fault.KindRefused, fault.NotRun, "session closed")
 }
 
-func (n *Instance) session(ctx context.Context, addr netip.AddrPort) (*session, error) {
-	n.mu.Lock()
-	s, ok := n.sessions[addr]
+// session returns the session to a peer, once it is connected.
+func (t *Instance) session(ctx context.Context, addr netip.AddrPort) (*session, error) {
+	t.mu.Lock()
+	s, ok := t.sessions[addr]
 	if ok && s.mux != nil && s.mux.IsClosed() {
 		ok = false
 	}
 	if !ok {
 		s = &session{ready: make(chan struct{})}
-		n.sessions[addr] = s
-		go n.dial(addr, s)
+		t.sessions[addr] = s
+		go t.dial(addr, s)
 	}
-	n.mu.Unlock()
+	t.mu.Unlock()
 	select {
 	case <-s.ready:
 		return s, s.err
@@ -273,87 +288,91 @@
 	}
 }
 
-func (n *Instance) dial(addr netip.AddrPort, s *session) {
+// dial connects s. It does not use the context of a call, since other calls
+// may wait for the same session.
+func (t *Instance) dial(addr netip.AddrPort, s *session) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
-	c, err := n.net.Dial(ctx, addr)
-	if err == nil && n.tls != nil {
-		c = tls.Client(c, n.tls)
+	c, err := t.net.Dial(ctx, addr)
+	if err == nil && t.tls != nil {
+		c = tls.Client(c, t.tls)
 	}
 	var mux *yamux.Session
 	if err == nil {
-		mux, err = yamux.Client(n.counted(c), config())
+		mux, err = yamux.Client(t.countBytes(c), sessionConfig())
 	}
-	n.mu.Lock()
+	t.mu.Lock()
 	s.mux, s.err = mux, err
-	s.usedAt.Store(n.clock.Now().UnixNano())
-	if err != nil && n.sessions[addr] == s {
-		delete(n.sessions, addr)
+	s.usedAt.Store(t.clock.Now().UnixNano())
+	if err != nil && t.sessions[addr] == s {
+		delete(t.sessions, addr)
 	}
-	n.mu.Unlock()
+	t.mu.Unlock()
 	close(s.ready)
 }
 
-func (n *Instance) drop(addr netip.AddrPort, s *session) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.sessions[addr] == s {
-		delete(n.sessions, addr)
+// dropSession closes a session, so that the next call dials a new one.
+func (t *Instance) dropSession(addr netip.AddrPort, s *session) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.sessions[addr] == s {
+		delete(t.sessions, addr)
 	}
 	_ = s.mux.Close()
 }
 
-// Tidy closes sessions that were not used for long, and all of a peer that is
-// known to be gone.
-func (n *Instance) Tidy(now time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for addr, s := range n.sessions {
-		if s.mux != nil && now.UnixNano()-s.usedAt.Load() > int64(idleAfter) {
+// CloseIdle closes sessions on which no call was made for
+// sessionIdleTimeout.
+func (t *Instance) Tidy(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for addr, s := range t.sessions {
+		if s.mux != nil && now.UnixNano()-s.usedAt.Load() > int64(sessionIdleTimeout) {
 			_ = s.mux.Close()
-			delete(n.sessions, addr)
+			delete(t.sessions, addr)
 		}
 	}
 }
 
-// Forget closes the session to an address.
-func (n *Instance) Forget(addr netip.AddrPort) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if s, ok := n.sessions[addr]; ok && s.mux != nil {
+// CloseSession closes the session that was dialled to addr, if there is one.
+func (t *Instance) Forget(addr netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s, ok := t.sessions[addr]; ok && s.mux != nil {
 		_ = s.mux.Close()
-		delete(n.sessions, addr)
+		delete(t.sessions, addr)
 	}
 }
 
-// Close closes all sessions.
-func (n *Instance) Close() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for addr, s := range n.sessions {
+// Close closes all sessions that this instance dialled.
+func (t *Instance) Close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for addr, s := range t.sessions {
 		if s.mux != nil {
 			_ = s.mux.Close()
 		}
-		delete(n.sessions, addr)
+		delete(t.sessions, addr)
 	}
 }
 
-// counted counts the bytes of a connection.
-func (n *Instance) counted(c net.Conn) net.Conn { return &countedConn{c, n} }
+// countBytes returns a connection that adds its traffic to the byte counters.
+func (t *Instance) countBytes(c net.Conn) net.Conn { return &countedConn{c, t} }
 
+// countedConn is a connection whose bytes are counted in transport.
 type countedConn struct {
 	net.Conn
-	n *Instance
+	transport *Instance
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	k, err := c.Conn.Read(b)
-	c.n.got.Add(int64(k))
+	c.transport.received.Add(int64(k))
 	return k, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	k, err := c.Conn.Write(b)
-	c.n.sent.Add(int64(k))
+	c.transport.sent.Add(int64(k))
 	return k, err
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,41 +15,44 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// mutable is a network whose open connections can be made silent, without a reset.
-type mutable struct {
+// mutableNetwork is a network whose connections can be muted: a muted one drops
+// all data that is written to it, without a reset.
+type mutableNetwork struct {
 	netx.Network
-	muted atomic.Int64 // connections dialled before this number are silent
-	count atomic.Int64 // of connections dialled
+	mutedUpTo atomic.Int64 // number of the last connection that drops data
+	dialled   atomic.Int64 // connections dialled
 }
 
-func (m *mutable) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
-	c, err := m.Network.Dial(ctx, addr)
-	return &mutedConn{Conn: c, net: m, number: m.count.Add(1)}, err
+func (n *mutableNetwork) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
+	c, err := n.Network.Dial(ctx, addr)
+	return &mutedConn{Conn: c, net: n, number: n.dialled.Add(1)}, err
 }
 
 type mutedConn struct {
 	net.Conn
-	net    *mutable
+	net    *mutableNetwork
 	number int64
 }
 
-// Write implements net.Conn: what a silent connection is given is lost.
+// Write implements net.Conn. On a muted connection it drops the data and
+// reports success.
 func (c *mutedConn) Write(b []byte) (int, error) {
-	if c.number <= c.net.muted.Load() {
+	if c.number <= c.net.mutedUpTo.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// done answers each call.
-type done struct{}
+// doneHandler is a Handler that responds to each call at once.
+type doneHandler struct{}
 
-func (done) Handle(_ context.Context, _ *peerpb.Call, answer func(*peerpb.Answer) error) error {
+func (doneHandler) Handle(_ context.Context, _ *peerpb.Call, answer func(*peerpb.Answer) error) error {
 	return answer(&peerpb.Answer{Body: &peerpb.Answer_Done{Done: &peerpb.Done{}}})
 }
 
-// A session whose connection went silent is given up after a second of calls without
-// an answer, and a new one works.
+// A connection can stop delivering data without a reset, so that all calls on
+// its session time out. After a second without a response the session is closed,
+// and a new one works.
 func TestASilentSessionIsGivenUp(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -59,10 +62,10 @@
 		is.NoErr(err)
 		ctx, stop := context.WithCancel(context.Background())
 		server := New(mem.Site("b"), "b", nil, nil)
-		server.SetHandler(done{})
+		server.SetHandler(doneHandler{})
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(ctx, l) }()
-		network := &mutable{Network: mem.Site("a")}
+		network := &mutableNetwork{Network: mem.Site("a")}
 		client := New(network, "a", nil, nil)
 		call := func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
@@ -71,15 +74,15 @@
 			return err
 		}
 		is.NoErr(call())
-		network.muted.Store(network.count.Load())
+		network.mutedUpTo.Store(network.dialled.Load())
 		failed := 0
 		for call() != nil {
 			if failed++; failed > 10 {
-				t.Fatal("the silent session is used on")
+				t.Fatal("the unresponsive session is still in use")
 			}
 		}
-		is.Equal(failed, 3) // 0.4 s each
-		is.Equal(network.count.Load(), int64(2))
+		is.Equal(failed, 3) // each times out after 0.4 s; the third fails after more than unresponsiveAfter
+		is.Equal(network.dialled.Load(), int64(2))
 		client.Close()
 		stop()
 		<-served
--- a/internal/peer/suspend_test.go
+++ b/internal/peer/suspend_test.go
@@ -17,23 +17,25 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// suspendsAsker answers each call, while the machine of whoever asks is suspended.
-type suspendsAsker struct {
-	done
-	machine *clocktest.Machine
-	d       time.Duration
+// suspendingHandler is a Handler that suspends the calling instance before it
+// responds.
+type suspendingHandler struct {
+	doneHandler
+	callerClock *clocktest.Machine
+	duration    time.Duration
 }
 
-func (s *suspendsAsker) Handle(ctx context.Context, call *peerpb.Call, answer func(*peerpb.Answer) error) error {
-	s.machine.Skip(s.d)
-	return s.done.Handle(ctx, call, answer)
+func (s *suspendingHandler) Handle(ctx context.Context, call *peerpb.Call, answer func(*peerpb.Answer) error) error {
+	s.callerClock.Skip(s.duration)
+	return s.doneHandler.Handle(ctx, call, answer)
 }
 
-// An instance took what another one had told it before a suspension for news, such as a permit
-// that had lapsed: the time of the call stood still with the machine.
+// The timer of a call's context stops while the instance is suspended. So a
+// response from before a suspension could be accepted after it, such as a permit
+// that has expired meanwhile.
 func TestAnAnswerFromBeforeASuspensionIsNone(t *testing.T) {
-	// yamux keeps timers in a pool that outlives a bubble and must not be used in the next; two
-	// collections empty it.
+	// yamux keeps timers in a global sync.Pool. A timer of an earlier synctest bubble
+	// must not be used in this one; two garbage collections empty the pool.
 	runtime.GC()
 	runtime.GC()
 	virtual.Test(t, func(t *testing.T) {
@@ -43,18 +45,18 @@
 		l, err := mem.Site("b").Listen(addr)
 		is.NoErr(err)
 		ctx, stop := context.WithCancel(context.Background())
-		asker := &suspendsAsker{machine: clocktest.New()}
+		handler := &suspendingHandler{callerClock: clocktest.New()}
 		server := New(mem.Site("b"), "b", nil, nil)
-		server.SetHandler(asker)
+		server.SetHandler(handler)
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(ctx, l) }()
-		client := New(mem.Site("a"), "a", nil, clock.New(asker.machine))
+		client := New(mem.Site("a"), "a", nil, clock.New(handler.callerClock))
 		for _, d := range []time.Duration{0, 100 * time.Millisecond, 5 * time.Second} {
-			asker.d = d
+			handler.duration = d
 			call, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 			_, err = client.Call(call, addr, &peerpb.Call{Body: &peerpb.Call_Permit{Permit: &peerpb.Permit{}}})
 			cancel()
-			is.Equal(errors.Is(err, errLate), d > 400*time.Millisecond)
+			is.Equal(errors.Is(err, errLateResponse), d > 400*time.Millisecond)
 		}
 		client.Close()
 		stop()
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -11,28 +11,29 @@
 	"github.com/shelfcrank/shelfcrank/internal/peerpb"
 )
 
-// Flow is one kind of calls that an instance makes.
+// Flow is a class of calls that are counted together.
 type Flow struct {
-	Kind    string // of the call, such as "Share"
-	Crosses bool   // to an instance in another hall
+	Kind    string // type of the call, such as "Share"
+	Crosses bool   // whether the called instance is in another hall
 }
 
-// Volume is what the calls of a flow took since the instance started.
+// Volume is the number and size of calls since the instance started.
 type Volume struct {
 	Calls    int64
-	Sent     int64 // bytes of calls
-	Received int64 // bytes of answers
+	Sent     int64 // bytes of call messages
+	Received int64 // bytes of responses
 }
 
-// traffic counts the calls that an instance makes. It is safe for concurrent use.
+// traffic counts the calls that this instance makes. It is safe for concurrent
+// use.
 type traffic struct {
-	mu      sync.Mutex
-	flows   map[Flow]Volume           // guarded by mu
-	crosses func(netip.AddrPort) bool // nil where halls are not known
+	mu        sync.Mutex
+	flows     map[Flow]Volume           // guarded by mu
+	otherHall func(netip.AddrPort) bool // reports whether an address is in another hall; nil if halls are not known
 }
 
 func (t *traffic) add(to netip.AddrPort, call *peerpb.Call, v Volume) {
-	f := Flow{Kind: kindOf(call), Crosses: t.crosses != nil && t.crosses(to)}
+	f := Flow{Kind: kindOf(call), Crosses: t.otherHall != nil && t.otherHall(to)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := t.flows[f]
@@ -42,19 +43,20 @@
 	t.flows[f] = sum
 }
 
-// Traffic returns what the calls of this instance took. Bytes are those of the messages,
-// without what the session adds (two frames of 12 bytes for most).
-func (n *Instance) Traffic() map[Flow]Volume {
-	n.traffic.mu.Lock()
-	defer n.traffic.mu.Unlock()
-	return maps.Clone(n.traffic.flows)
+// Traffic returns the volume of the calls that this instance made, by flow. It
+// counts the bytes of messages, without the overhead of the session, which is
+// two frames of 12 bytes for most calls.
+func (t *Instance) Traffic() map[Flow]Volume {
+	t.traffic.mu.Lock()
+	defer t.traffic.mu.Unlock()
+	return maps.Clone(t.traffic.flows)
 }
 
-// SetCrosses sets what tells whether an address is in another hall; it is called before
-// Serve.
-func (n *Instance) SetCrosses(crosses func(netip.AddrPort) bool) { n.traffic.crosses = crosses }
+// SetCrossHallFunc sets the function that reports whether an address is in
+// another hall. It must be called before Serve.
+func (t *Instance) SetCrosses(otherHall func(netip.AddrPort) bool) { t.traffic.otherHall = otherHall }
 
-// kindOf returns the kind of a call: the name of its body's type.
+// kindOf returns the type of a call: the name of its body's message type.
 func kindOf(call *peerpb.Call) string {
 	if call.Body == nil {
 		return ""
@@ -62,7 +64,7 @@
 	return strings.TrimPrefix(reflect.TypeOf(call.Body).Elem().Name(), "Call_")
 }
 
-// countingReader counts what is read.
+// countingReader counts the bytes that are read.
 type countingReader struct {
 	io.Reader
 	n int64
