--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -18,23 +18,22 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// change is something that the state's goroutine takes note of.
+// change is an input to the state's goroutine.
 type change interface{ change() }
 
-// configRead brings a configuration from a read or a watch. provedAt is when
-// the read was sent, zero for a watch.
+// configRead carries a configuration from a read or a watch. provedAt is when the read was sent,
+// zero for a watch.
 type configRead struct {
 	value    []byte
 	revision store.Revision
 	provedAt time.Time
-	byPeer   bool // another node read it, while this one could not
+	byPeer   bool // read by another instance while this one could not
 }
 
-// sharedOutage reports that the other nodes cannot read the store either.
+// sharedOutage reports that the other instances cannot read the store either.
 type sharedOutage struct{ at time.Time }
 
-// listedServers and listedNodes bring all entries of a kind, watched the changes
-// since.
+// listedEndpoints and listedInstances carry all entries of a kind; watched carries later changes.
 type (
 	listedEndpoints struct {
 		items []store.Item
@@ -42,32 +41,32 @@
 	}
 	listedInstances struct {
 		items []store.Item
-		at    store.Revision // zero where that is not known
+		at    store.Revision // zero if unknown
 	}
 	watched struct{ events []store.Event }
 )
 
-// storeCalled reports how a call of the store went that was sent at a time.
+// storeCalled reports the outcome of a store call and when it was sent.
 type storeCalled struct {
 	ok   bool
 	sent time.Time
 }
 
-// operatorsRead brings the orders of roll-outs as read, whether there are any or not; a
-// configuration among them is passed over.
+// operatorsRead carries the operators' entries as read, for their roll-out orders, of which there
+// may be none. A configuration among them is ignored.
 type operatorsRead struct{ items []store.Item }
 
-// wroteRecord reports that this node wrote a record of a roll-out at a revision.
+// wroteRecord reports that this instance wrote a roll-out record at a revision.
 type wroteRecord struct {
 	record rollout.Record
 	at     store.Revision
 }
 
-// announcedLeaving reports that an answer of a server said that it leaves.
+// announcedLeaving reports that an endpoint announced in an answer that it is leaving.
 type announcedLeaving struct{ endpoint string }
 
-// leave makes the node take leave.
-type leave struct{}
+// drainStarted reports that this instance has begun to drain.
+type drainStarted struct{}
 
 func (configRead) change()       {}
 func (sharedOutage) change()     {}
@@ -76,22 +75,22 @@
 func (watched) change()          {}
 func (storeCalled) change()      {}
 func (announcedLeaving) change() {}
-func (leave) change()            {}
+func (drainStarted) change()     {}
 func (operatorsRead) change()    {}
 func (wroteRecord) change()      {}
 
 const (
 	changeQueue = 256
 	stateTick   = clock.LookEvery
-	// troubleFor is how long after a failed call the store counts as troubled:
-	// entries that lapsed meanwhile take so long to be written again.
+	// troubleFor is how long after a failed call the store counts as troubled: entries whose
+	// leases expired during the failure take this long to be rewritten.
 	troubleFor = 3 * time.Second
-	// leastOutage is how long the store has to be down until entries that went
-	// before are kept on: one late or unlucky call must not prolong them.
-	leastOutage = time.Second
+	// minOutage is how long the store must be down before entries that were removed earlier are
+	// kept in use: a single late or failed call must not prolong them.
+	minOutage = time.Second
 )
 
-// state is the control state of an instance. It belongs to the goroutine that runs Serve.
+// state is the control state of an instance. It is owned by the goroutine that runs Serve.
 type state struct {
 	instance *Instance
 	changes  chan change
@@ -99,47 +98,47 @@
 	members  *members
 	rollouts *rolloutState
 
-	config     *policy.Config
-	revision   store.Revision // of the configuration's item
-	passedOver store.Revision // of an older one that was read last
-	provedAt   time.Time
-	readAt     time.Time // the same for this node's own way to the store
-	outageAt   time.Time // when the others last said that they cannot read the store either
-	stale      bool      // a stale configuration was reported
-	troubleAt  time.Time // of the last call that failed
-	answeredAt time.Time // of the last call that did not
-	storeDown  bool
-	downAt     time.Time // since when the store is down
-	leaving    bool
-	era        era
-	behind     bool       // the store has an older version than the one in force
-	withheld   configRead // that counts once the store has settled
-	listed     bool       // the servers are known
-	knows      bool       // as Node.knows
-	publishDue bool
-	takers     takers
+	config        *policy.Config
+	revision      store.Revision // of the configuration's item
+	lastOutdated  store.Revision // of the last older configuration that was read, for logging
+	provedAt      time.Time      // when the latest read that proved the configuration was sent
+	readAt        time.Time      // the same, without reads by proveThroughPeers
+	outageAt      time.Time      // when the others last reported that they cannot read the store either
+	stale         bool           // the configuration was logged as stale
+	troubleAt     time.Time      // of the last call that failed
+	answeredAt    time.Time      // of the last call that was answered
+	storeDown     bool
+	downAt        time.Time // when the store went down
+	leaving       bool
+	era           era
+	behind        bool       // the store has an older version than the one in force
+	deferredProof configRead // a proof to apply once the restored store has settled
+	listed        bool       // the endpoints were listed
+	synced        bool       // Instance.synced is closed
+	publishDue    bool
+	active        activeEndpoints
 }
 
-// takers are the servers that take work, as views show them.
-type takers struct {
-	of        []registry.Endpoint // the registry's list that they were taken from
+// activeEndpoints are the endpoints that accept new requests, as published in views.
+type activeEndpoints struct {
+	source    []registry.Endpoint // registry list that they were selected from
 	all       []registry.Endpoint
 	byService map[string][]registry.Endpoint
 }
 
-// takersOf returns the servers of a list that take work.
-func takersOf(list []registry.Endpoint) takers {
-	t := takers{of: list, byService: make(map[string][]registry.Endpoint)}
-	for _, server := range list {
-		if !server.Leaving {
-			t.all = append(t.all, server)
-			t.byService[server.Service] = append(t.byService[server.Service], server)
+// activeOf returns the endpoints of a list that are not leaving.
+func activeOf(list []registry.Endpoint) activeEndpoints {
+	t := activeEndpoints{source: list, byService: make(map[string][]registry.Endpoint)}
+	for _, endpoint := range list {
+		if !endpoint.Leaving {
+			t.all = append(t.all, endpoint)
+			t.byService[endpoint.Service] = append(t.byService[endpoint.Service], endpoint)
 		}
 	}
 	return t
 }
 
-// sameList reports whether two lists of a registry are one and the same.
+// sameList reports whether two slices share the same backing array and length.
 func sameList(a, b []registry.Endpoint) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -150,7 +149,7 @@
 
 func (s *state) send(c change) { s.changes <- c }
 
-// Serve runs the goroutine until ctx ends. It is a suture service.
+// Serve applies changes and publishes views until ctx ends. It implements suture.Service.
 func (s *state) Serve(ctx context.Context) error {
 	t := time.NewTicker(stateTick)
 	defer t.Stop()
@@ -162,7 +161,7 @@
 		case c := <-s.changes:
 			s.apply(c, s.instance.Clock.Now())
 		case <-t.C:
-			if w, woken := watcher.Look(); woken {
+			if w, resumed := watcher.Look(); resumed {
 				s.instance.onResume(w)
 			}
 			s.tick(s.instance.Clock.Now())
@@ -174,20 +173,20 @@
 }
 
 func (s *state) apply(c change, now time.Time) {
-	if !s.enter(c, now) {
+	if !s.observeEra(c, now) {
 		return
 	}
 	switch c := c.(type) {
 	case configRead:
-		s.takeConfig(c, now)
+		s.applyConfig(c, now)
 	case eraMarked:
-		s.marked(c, now)
+		s.applyEraFirstSeen(c, now)
 	case peerConfig:
-		s.takePeerConfig(c)
+		s.applyPeerConfig(c)
 	case sharedOutage:
 		s.outageAt, s.publishDue = c.at, true
 	case listedEndpoints:
-		s.takeEndpoints(c.items, c.at, now)
+		s.applyEndpointList(c.items, c.at, now)
 		s.instance.watchProgress.Listed(c.items, c.at)
 	case operatorsRead:
 		s.publishDue = s.rollouts.takeOperators(c.items) || s.publishDue
@@ -201,29 +200,29 @@
 		s.members.replace(c.items, now)
 		s.publishDue = true
 	case watched:
-		s.takeEvents(c.events, now)
+		s.applyEvents(c.events, now)
 	case peerInstances:
-		s.publishDue = s.members.learn(c, now) || s.publishDue
+		s.publishDue = s.members.applyPeers(c, now) || s.publishDue
 	case storeCalled:
-		s.takeCall(c, now)
+		s.applyStoreCall(c, now)
 	case announcedLeaving:
 		s.logChanges(s.registry.Leave(c.endpoint, now))
-	case leave:
+	case drainStarted:
 		s.leaving, s.publishDue = true, true
 	}
 }
 
-// takeConfig puts a newer configuration in force, and notes the proof of the
-// one in force. It never goes back.
-func (s *state) takeConfig(c configRead, now time.Time) {
+// applyConfig puts a newer configuration in force, or records a proof of the one in force. It never
+// goes back to an older version.
+func (s *state) applyConfig(c configRead, now time.Time) {
 	if c.revision > s.revision {
 		next, err := s.instance.Decoder.Config(c.value)
 		if err != nil {
 			s.instance.event(event.ConfigRejected, zap.Inline(c.revision), zap.Error(err))
-			return // what it takes away is not known: the one in force is not proved
+			return // it may revoke keys, so it is no proof of the one in force
 		}
 		if s.revision != 0 && s.revision.Era() == c.revision.Era() {
-			s.era.joined = false // the operators wrote again
+			s.era.startedIn = false // the operators have written since the restore
 		}
 		s.revision, s.behind = c.revision, s.config != nil && next.Version < s.config.Version
 		s.instance.revision.Store(int64(c.revision))
@@ -233,11 +232,11 @@
 		}
 	}
 	if c.revision != s.revision {
-		s.passOver(c)
+		s.logOutdated(c)
 		return
 	}
-	if s.mayLack(now) {
-		s.withheld = c
+	if s.storeMayLackVersions(now) {
+		s.deferredProof = c
 		return
 	}
 	if !c.byPeer && c.provedAt.After(s.readAt) {
@@ -257,48 +256,49 @@
 	s.instance.versions.Hold(c.Version, value)
 }
 
-// passOver logs a configuration that is older than the one in hand, once for each revision.
-func (s *state) passOver(c configRead) {
-	if c.revision >= s.revision || c.revision == s.passedOver {
+// logOutdated logs a configuration that is older than the one held, once for each revision.
+func (s *state) logOutdated(c configRead) {
+	if c.revision >= s.revision || c.revision == s.lastOutdated {
 		return
 	}
-	s.passedOver = c.revision
+	s.lastOutdated = c.revision
 	s.instance.event(event.ConfigPassedOver, zap.Inline(c.revision), zap.Object("in_hand", s.revision), zap.Int64("version", s.config.Version), zap.Bool("by_peer", c.byPeer))
 }
 
-// keysUntil is how long a key may be honoured. What no node can read binds
-// none, unless the deployment says that a key taken away must end all the same.
+// keysUntil returns until when keys may be accepted. During an outage of the store for all
+// instances they are accepted for longer, unless StrictRevoke demands that revoked keys stop
+// working within the bound regardless.
 func (s *state) keysUntil() time.Time {
 	b := s.instance.Settings.Bounds
 	if b.StrictRevoke {
-		return s.provedAt.Add(shareOf(keysShare, b.Revoke()))
+		return s.provedAt.Add(fractionOf(revokeBoundShare, b.Revoke()))
 	}
 	known := s.provedAt
 	if s.outageAt.After(known) {
 		known = s.outageAt
 	}
-	return known.Add(shareOf(keysShare, b.Config()+b.Outer()))
+	return known.Add(fractionOf(revokeBoundShare, b.Config()+b.Outer()))
 }
 
-// outageUntil is how long the store counts as down for all nodes.
-func (s *state) outageUntil() time.Time { return s.outageAt.Add(outageFor) }
+// outageUntil returns until when the store counts as down for all instances.
+func (s *state) outageUntil() time.Time { return s.outageAt.Add(sharedOutageTTL) }
 
-func shareOf(x float64, d time.Duration) time.Duration { return time.Duration(x * float64(d)) }
+func fractionOf(x float64, d time.Duration) time.Duration { return time.Duration(x * float64(d)) }
 
-// troubled reports whether the store is or just was not to be relied on.
+// troubled reports whether the store is down or a call failed within troubleFor.
 func (s *state) troubled(now time.Time) bool {
 	return s.storeDown || !s.troubleAt.IsZero() && now.Sub(s.troubleAt) < troubleFor
 }
 
-// takeCall notes whether the store can be reached. A failure of a call that was
-// sent before the last good answer says nothing new: it may come late.
-func (s *state) takeCall(c storeCalled, now time.Time) {
+// applyStoreCall records whether the store can be reached. The failure of a call that was sent
+// before the last answer is ignored, as it may arrive late.
+func (s *state) applyStoreCall(c storeCalled, now time.Time) {
 	if c.ok {
 		s.answeredAt = now
 		if s.storeDown {
 			s.storeDown = false
 			s.instance.event(event.StoreBack)
-			s.instance.rewatch()
+			s.instance.restartWatches()
 		}
 		return
 	}
@@ -312,63 +312,62 @@
 	}
 }
 
-// outage reports whether the store has been down for longer than one call that
-// failed by chance.
+// outage reports whether the store has been down for longer than minOutage.
 func (s *state) outage(now time.Time) bool {
-	return s.storeDown && now.Sub(s.downAt) > leastOutage
+	return s.storeDown && now.Sub(s.downAt) > minOutage
 }
 
-func (s *state) takeEndpoints(items []store.Item, at store.Revision, now time.Time) {
-	var servers []registry.Endpoint
-	var odd []string
+func (s *state) applyEndpointList(items []store.Item, at store.Revision, now time.Time) {
+	var endpoints []registry.Endpoint
+	var invalid []string
 	for _, item := range items {
 		id, ok := s.instance.Decoder.EndpointID(item.Key)
 		if !ok {
 			continue
 		}
-		if server, ok := s.decode(id, item, now); ok {
-			servers = append(servers, server)
+		if endpoint, ok := s.decode(id, item, now); ok {
+			endpoints = append(endpoints, endpoint)
 		} else {
-			odd = append(odd, id)
+			invalid = append(invalid, id)
 		}
 	}
-	s.logChanges(s.registry.Replace(servers, odd, at, s.troubled(now), now))
+	s.logChanges(s.registry.Replace(endpoints, invalid, at, s.troubled(now), now))
 	s.listed, s.publishDue = true, true
 }
 
-// decode reads a server's entry. One that can't be read names no server to use, and is
-// logged once for each change; the others hold.
+// decode decodes an endpoint's entry. An entry that can't be decoded withholds its endpoint from
+// use, and is logged once for each change; other entries are unaffected.
 func (s *state) decode(id string, item store.Item, now time.Time) (registry.Endpoint, bool) {
-	server, err := s.instance.Decoder.Endpoint(id, item.Value, now)
+	endpoint, err := s.instance.Decoder.Endpoint(id, item.Value, now)
 	if err == nil {
-		server.Revision = item.Revision
-		if s.registry.Outdated(server) {
-			s.instance.event(event.EndpointPassedOver, zap.String("server", server.ID), zap.Inline(item.Revision), zap.Bool("leaving", server.Leaving))
+		endpoint.Revision = item.Revision
+		if s.registry.Outdated(endpoint) {
+			s.instance.event(event.EndpointPassedOver, zap.String("server", endpoint.ID), zap.Inline(item.Revision), zap.Bool("leaving", endpoint.Leaving))
 		}
-		return server, true
+		return endpoint, true
 	}
 	if s.registry.Withhold(id, item.Revision, now) != registry.None {
-		s.instance.event(event.ServerOdd, zap.String("server", cut(id)), zap.Inline(item.Revision), zap.String("error", cut(err.Error())))
+		s.instance.event(event.ServerOdd, zap.String("server", truncate(id)), zap.Inline(item.Revision), zap.String("error", truncate(err.Error())))
 	}
 	return registry.Endpoint{}, false
 }
 
-// oddText bounds what is logged of an entry that another wrote, in bytes.
-const oddText = 200
+// maxLoggedText limits the bytes logged of text that another process wrote.
+const maxLoggedText = 200
 
-func cut(text string) string { return text[:min(len(text), oddText)] }
+func truncate(text string) string { return text[:min(len(text), maxLoggedText)] }
 
-func (s *state) takeEvents(events []store.Event, now time.Time) {
-	var own []store.Event // of the product's own keys
+func (s *state) applyEvents(events []store.Event, now time.Time) {
+	var own []store.Event // of keys below OwnPrefix
 	for _, e := range events {
 		if e.Key == s.instance.Decoder.ConfigKey() {
 			if !e.Gone {
-				s.takeConfig(configRead{value: e.Value, revision: e.Revision}, now)
+				s.applyConfig(configRead{value: e.Value, revision: e.Revision}, now)
 			}
 		} else if id, ok := s.instance.Decoder.EndpointID(e.Key); ok {
-			s.takeEndpoint(id, e, now)
+			s.applyEndpointEvent(id, e, now)
 		} else if strings.HasPrefix(e.Key, s.instance.Decoder.OperatorPrefix()) {
-			s.takeOrder(e)
+			s.applyOrder(e)
 		} else {
 			own = append(own, e)
 		}
@@ -379,28 +378,28 @@
 				s.rollouts.takeRecord(e.Item)
 			}
 		}
-		s.members.take(own, now)
+		s.members.applyEvents(own, now)
 		s.publishDue = true
 	}
 }
 
-// takeOrder takes an order that a watch brought.
-func (s *state) takeOrder(e store.Event) {
+// applyOrder applies a change of a roll-out order from a watch.
+func (s *state) applyOrder(e store.Event) {
 	if !e.Gone && s.rollouts.takeOrder(e.Item) {
 		s.publishDue = true
 	}
 }
 
-func (s *state) takeEndpoint(id string, e store.Event, now time.Time) {
+func (s *state) applyEndpointEvent(id string, e store.Event, now time.Time) {
 	s.publishDue = true
 	s.instance.watchProgress.Saw(e.Revision)
 	if e.Gone {
-		server, _ := s.registry.Find(id)
-		s.logChanges([]registry.Event{{Change: s.registry.Remove(id, e.Revision, s.troubled(now), now), Endpoint: server}})
+		endpoint, _ := s.registry.Find(id)
+		s.logChanges([]registry.Event{{Change: s.registry.Remove(id, e.Revision, s.troubled(now), now), Endpoint: endpoint}})
 		return
 	}
-	if server, ok := s.decode(id, e.Item, now); ok {
-		s.logChanges([]registry.Event{{Change: s.registry.Put(server, now), Endpoint: server}})
+	if endpoint, ok := s.decode(id, e.Item, now); ok {
+		s.logChanges([]registry.Event{{Change: s.registry.Put(endpoint, now), Endpoint: endpoint}})
 	}
 }
 
@@ -421,9 +420,9 @@
 }
 
 func (s *state) tick(now time.Time) {
-	if s.withheld.revision != 0 && !s.settling(now) {
-		s.takeConfig(s.withheld, now)
-		s.withheld = configRead{}
+	if s.deferredProof.revision != 0 && !s.settling(now) {
+		s.applyConfig(s.deferredProof, now)
+		s.deferredProof = configRead{}
 		s.instance.refresh()
 	}
 	s.logChanges(s.registry.Expire(s.outage(now), now))
@@ -437,34 +436,35 @@
 	s.instance.admission.tick(s.members.count(), now)
 }
 
-// publish shows a new view. Most differ in the proof of the configuration alone: the servers
-// are taken from the last one unless the registry's list has changed.
+// publish publishes a new view. Most views differ only in the proof of the configuration, so the
+// selection of active endpoints is reused unless the registry's list has changed.
 func (s *state) publish() {
 	s.publishDue = false
-	if list := s.registry.List(); s.takers.byService == nil || !sameList(list, s.takers.of) {
-		s.takers = takersOf(list)
+	if list := s.registry.List(); s.active.byService == nil || !sameList(list, s.active.source) {
+		s.active = activeOf(list)
 	}
 	v := &forward.View{
 		Config: s.config, ProvedAt: s.provedAt, ReadAt: s.readAt, KeysUntil: s.keysUntil(), OutageUntil: s.outageUntil(), Instances: s.members.count(), Leaving: s.leaving,
-		Listed: s.takers.all, Endpoints: maps.Clone(s.takers.byService), Trial: make(map[string][]registry.Endpoint), Rollouts: make(map[string]rollout.Record),
+		Listed: s.active.all, Endpoints: maps.Clone(s.active.byService), Trial: make(map[string][]registry.Endpoint), Rollouts: make(map[string]rollout.Record),
 	}
-	s.divide(v)
+	s.splitByRollout(v)
 	s.instance.view.Store(v)
-	if !s.knows && s.config != nil && s.listed {
-		s.knows = true
-		close(s.instance.knows)
+	if !s.synced && s.config != nil && s.listed {
+		s.synced = true
+		close(s.instance.synced)
 	}
 }
 
-// divide divides the endpoints of a view as roll-outs ask for.
-func (s *state) divide(v *forward.View) {
+// splitByRollout splits the endpoints of a view into those on trial and the others, as the
+// roll-outs require.
+func (s *state) splitByRollout(v *forward.View) {
 	if !s.instance.rollouts.Enabled() {
 		return
 	}
 	now := s.instance.Clock.Now()
 	known := []rollctl.Known{}
-	for service, servers := range v.Endpoints {
-		if k := s.rollouts.divide(v, service, servers, now); k != nil {
+	for service, endpoints := range v.Endpoints {
+		if k := s.rollouts.divide(v, service, endpoints, now); k != nil {
 			known = append(known, *k)
 		}
 	}
--- a/internal/front/suspend_test.go
+++ b/internal/front/suspend_test.go
@@ -16,72 +16,69 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
-// suspendable gives each node a machine of its own that can be suspended.
-func suspendable(w *world) { w.machines = make(map[string]*clocktest.Machine) }
+// suspendable gives each instance a host of its own that can be suspended.
+func suspendable(w *world) { w.hosts = make(map[string]*clocktest.Machine) }
 
-// suspend suspends nodes' machines for a time. Nothing leaves or reaches them meanwhile, and
-// their watches of the store hear nothing any more until they are begun anew.
+// suspend suspends the hosts of instances for a time. They neither send nor receive anything
+// meanwhile, and their watches of the store stay silent until they are restarted.
 func (w *world) suspend(d time.Duration, names ...string) {
 	for _, name := range names {
-		w.machines[name].Suspend()
+		w.hosts[name].Suspend()
 		w.mem.Freeze(w.nodes[name].site, true)
 		w.store.SetFaults(name, storetest.Faults{Frozen: true})
 	}
 	time.Sleep(d)
 	for _, name := range names {
-		w.machines[name].Resume()
+		w.hosts[name].Resume()
 		w.store.SetFaults(name, storetest.Faults{Silent: true})
 		w.mem.Freeze(w.nodes[name].site, false)
 	}
 }
 
-// machineCloud is the cloud as a node sees it whose machine can be suspended.
-type machineCloud struct {
+// suspendableCloud is the platform as seen by an instance whose host can be suspended.
+type suspendableCloud struct {
 	*cloud
-	machine *clocktest.Machine
+	host *clocktest.Machine
 }
 
-func (c machineCloud) ReportUsage(ctx context.Context, d duty.Token, window int64, counts map[string]int64) error {
-	c.machine.AwaitResume()
+func (c suspendableCloud) ReportUsage(ctx context.Context, d duty.Token, window int64, counts map[string]int64) error {
+	c.host.AwaitResume()
 	return c.cloud.ReportUsage(ctx, d, window, counts)
 }
 
-func (c machineCloud) Order(ctx context.Context, d duty.Token, service, hall string, desired int, spot bool) error {
-	c.machine.AwaitResume()
+func (c suspendableCloud) Order(ctx context.Context, d duty.Token, service, hall string, desired int, spot bool) error {
+	c.host.AwaitResume()
 	return c.cloud.Order(ctx, d, service, hall, desired, spot)
 }
 
-// suspensions are lengths from below to above all bounds of the product.
+// suspensions are durations from below to above all bounds of an instance.
 var suspensions = []time.Duration{500 * time.Millisecond, 2500 * time.Millisecond, 5500 * time.Millisecond, 20 * time.Second}
 
-// A client account whose key was taken away was served on by one instance.
-//
-// Order of events: the machine of the instance is suspended; the key is taken away, longer ago
-// than is allowed for it to work on; the machine goes on, and the instance takes a request with
-// the key before it has read the configuration again. Cause: the age of the proof of the
-// configuration went by Go's steady clock, which stands still meanwhile. Evidence: the line of
-// the request tells the configuration's age without the suspension.
+// Guards against an instance that accepts a revoked key after a suspension of its host: the key is
+// revoked during the suspension, and on resume the instance gets a request with the key before it
+// has read the configuration again. This happens if the age of the configuration's proof is
+// measured with Go's monotonic clock, which stops during a suspension.
 func TestAKeyTakenAwayWhileSuspended(t *testing.T) {
 	for _, d := range suspensions {
 		play(t, 4, func(is *is.I, w *world) {
 			time.Sleep(4 * time.Second)
 			is.Equal(w.ask("n0", "/safe/a", "k1", "n0/before"), http.StatusOK)
-			var taken time.Time
+			var revokedAt time.Time
 			var wait sync.WaitGroup
 			wait.Go(func() {
 				time.Sleep(d / 10)
 				w.configure(2, "k2")
-				taken = time.Now()
+				revokedAt = time.Now()
 			})
 			w.suspend(d, "n0")
 			wait.Wait()
 			bound := w.settings("n0", 1).Bounds.Revoke()
 			for i := range 40 {
-				late := time.Since(taken) > bound
+				late := time.Since(revokedAt) > bound
 				id := fmt.Sprint("n0/after", i)
 				status := w.ask("n0", "/safe/a", "k1", id)
 				if late && (status == http.StatusOK || w.runsOf(id) > 0) {
-					t.Errorf("suspended for %s: request %d with the key ran %s after it was taken away", d, i, time.Since(taken))
+					t.Errorf("suspended for %s: request %d with the key ran %s after the key was revoked", d, i, time.Since(revokedAt))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -90,11 +87,9 @@
 	}
 }
 
-// Callers of a new route were told by one instance that there is none, after its machine had
-// been suspended while the route was added.
-//
-// Cause: the instance took the configuration that it held for one that it had just proved.
-// Evidence: 404 where it had nothing but a configuration that was seconds old.
+// Guards against an instance that answers 404 for a new route because the route was added while its
+// host was suspended: it took the configuration that it held for one just proved, although it was
+// seconds old.
 func TestAnOldConfigurationAfterASuspension(t *testing.T) {
 	for _, d := range suspensions {
 		play(t, 4, func(is *is.I, w *world) {
@@ -113,7 +108,7 @@
 				late := time.Since(added) > bound
 				status := w.ask("n0", "/new/a", "k1", fmt.Sprint("n0/new", i))
 				if late && status == http.StatusNotFound {
-					t.Errorf("suspended for %s: request %d was told of no route %s after it was added", d, i, time.Since(added))
+					t.Errorf("suspended for %s: request %d got 404 %s after the route was added", d, i, time.Since(added))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -122,12 +117,10 @@
 	}
 }
 
-// Endpoints worked on requests whose time was over long ago.
-//
-// Cause: the context of a request ends by a timer, which has all the time before it that it
-// had when the machine was suspended.
+// Guards against endpoints that work on requests long after their deadline: the context of a request
+// ends by a timer, which does not run while the host is suspended, and so fires too late.
 func TestRequestsInHandEndWithTheirTime(t *testing.T) {
-	const inHand = 500 * time.Millisecond // so long the request is under way when the machine is suspended
+	const inHand = 500 * time.Millisecond // how long the request has run when the host is suspended
 	const work = 30 * time.Second
 	for _, d := range suspensions[2:] {
 		play(t, 4, func(is *is.I, w *world) {
@@ -137,34 +130,31 @@
 			wait.Go(func() { w.askUntil("n0", "/safe/a", "k1", "n0/long", work) })
 			time.Sleep(inHand)
 			w.suspend(d, "n0")
-			woken := time.Now()
+			resumedAt := time.Now()
 			wait.Wait()
 			time.Sleep(3 * time.Second)
 			cancelled := w.cancelledAt("n0/long")
-			t.Logf("suspended for %s: cancelled %s after it", d, cancelled.Sub(woken))
+			t.Logf("suspended for %s: cancelled %s after the resume", d, cancelled.Sub(resumedAt))
 			is.True(!cancelled.IsZero())
-			is.True(cancelled.Sub(woken) < 500*time.Millisecond)
+			is.True(cancelled.Sub(resumedAt) < 500*time.Millisecond)
 			w.work(20 * time.Millisecond)
 			is.Equal(w.ask("n0", "/safe/a", "k1", "n0/next"), http.StatusOK)
-			time.Sleep(work) // until the server has done it
+			time.Sleep(work) // until the endpoint has finished the request
 		}, suspendable)
 	}
 }
 
-// A client account got 480 requests through in a window of 440, after all instances had stood
-// still.
-//
-// Order of events: the account is at its limit; all instances stand still for 20 s; they go on at
-// the same moment, each with a bucket that time has filled, and each lets a whole burst through
-// before it learns of the others. Their registrations have lapsed, so that each takes itself for
-// the only one. Cause: a level counts time in which the instance could not learn of what the others
-// admit. Evidence: 80 were admitted by each of four in the first quarter of a second.
+// Guards against a limit that is exceeded after a suspension. While all instances are suspended for
+// 20 s their buckets refill and their registrations expire; on resume each takes itself for the
+// only instance and admits a whole burst before it receives the updates of the others. 480 requests
+// were then admitted in a window that allows 440, 80 by each of four instances within the first
+// 0.25 s. The refill must not count time in which updates of others could not arrive.
 //
-// Whoever is suspended, for however long, once or twice: the limit holds, and each instance serves
-// the account again.
+// The limit must hold whichever instances are suspended, once or twice, for any time, and all of
+// them must serve the client account again afterwards.
 func TestALimitHoldsWhileInstancesAreSuspended(t *testing.T) {
 	const rate, burst, over, window = 40, 80, 0.1, 8
-	const again = 10 * time.Second // after a suspension, all serve the account by then
+	const again = 10 * time.Second // after a suspension, until all instances serve the client account
 	for _, names := range [][]string{{"n0"}, {"n0", "n2"}, {"n0", "n1", "n2", "n3"}} {
 		for _, d := range suspensions {
 			play(t, 4, func(_ *is.I, w *world) {
@@ -175,10 +165,10 @@
 						w.suspend(d, names...)
 					}
 				})
-				time.Sleep(again) // the account pays its debts
+				time.Sleep(again) // until the client account's negative balance is refilled
 				for _, name := range namesOf(w) {
 					if status := w.ask(name, "/safe/a", "k1", name+"/last"); status != http.StatusOK {
-						t.Errorf("%v suspended for %s: %s answers %d afterwards", names, d, name, status)
+						t.Errorf("%v suspended for %s: %s answers status %d afterwards", names, d, name, status)
 					}
 				}
 			}, limited(rate, burst, over), suspendable)
@@ -186,7 +176,7 @@
 	}
 }
 
-// The same in a large fleet, where hubs and readers are among those that are suspended.
+// The same in a large fleet, with hubs and readers among the suspended instances.
 func TestALimitHoldsWhileHubsAreSuspended(t *testing.T) {
 	const rate, burst, over, window = 40, 80, 0.1, 8
 	for _, share := range []int{4, 1} { // one in so many
@@ -204,7 +194,7 @@
 				time.Sleep(10 * time.Second)
 				for _, name := range names {
 					if status := w.ask(name, "/safe/a", "k1", name+"/last"); status != http.StatusOK {
-						t.Errorf("one in %d suspended for %s: %s answers %d afterwards", share, d, name, status)
+						t.Errorf("one in %d suspended for %s: %s answers status %d afterwards", share, d, name, status)
 					}
 				}
 			}, limited(rate, burst, over), suspendable, func(w *world) { w.halls = 2 })
@@ -212,8 +202,8 @@
 	}
 }
 
-// limitHolds sends requests to all nodes for a time, so many a second, while something else
-// happens, and checks that no more than most run in any window of whole seconds.
+// limitHolds sends perSecond requests a second to random instances for a time while meanwhile runs,
+// and checks that at most most of them run in any window of whole seconds.
 func (w *world) limitHolds(d time.Duration, perSecond, window int, most float64, meanwhile func()) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -231,7 +221,7 @@
 			continue
 		}
 		if in := runs[second] - runs[second-window]; float64(in) > most {
-			w.t.Errorf("%d ran in the window that ended with second %d of %s", in, second, d)
+			w.t.Errorf("%d requests ran in the window that ended with second %d of %s", in, second, d)
 		}
 	}
 }
--- a/internal/front/suspendrandom_test.go
+++ b/internal/front/suspendrandom_test.go
@@ -16,44 +16,45 @@
 )
 
 const (
-	randomRuns = 4 // without SHELFCRANK_SEEDS
+	randomRuns = 4 // unless SHELFCRANK_SEEDS is set
 	runFor     = 25 * time.Second
 	askEvery   = 40 * time.Millisecond
-	// denyBound is how long after a route was added it may still be denied: the time for which
-	// a proof is certain enough, and the way of a call.
-	denyBound = certain + 300*time.Millisecond
+	// denyBound is how long after a route was added requests to it may still be denied: the
+	// maximum age of a proof by which they are denied, and the latency of a call.
+	denyBound = denialProofAge + 300*time.Millisecond
 )
 
-// history is one random run: instances are suspended, one, two or all, also while they are
-// killed, keys are taken away, routes are added and the store is in trouble.
-type history struct {
+// suspendRun is one random run in which one, two or all instances are suspended, also while a key
+// is revoked, a route is added and the store refuses instances.
+type suspendRun struct {
 	w    *world
 	mu   sync.Mutex
 	rnd  *rand.Rand      // guarded by mu
-	busy map[string]bool // instances that are suspended or killed; guarded by mu
+	busy map[string]bool // instances that are suspended or that the store refuses; guarded by mu
 
 	version int64     // of the configuration; guarded by mu
-	taken   time.Time // when the first key was taken away; zero before; guarded by mu
+	revoked time.Time // when the first key was revoked; zero before; guarded by mu
 	added   time.Time // when the route was added; zero before; guarded by mu
-	story   []string  // guarded by mu
-	once    []string  // requests that may run once; guarded by mu
+	events  []string  // guarded by mu
+	once    []string  // ids of requests that may run at most once; guarded by mu
 	wait    sync.WaitGroup
 }
 
-func (h *history) draw(n int) int {
+func (h *suspendRun) randN(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.rnd.IntN(n)
 }
 
-func (h *history) note(format string, args ...any) {
+func (h *suspendRun) logf(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.story = append(h.story, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+	h.events = append(h.events, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// pick takes some instances that run, at the most so many.
-func (h *history) pick(most int) (names []string) {
+// acquire selects at most the given number of running instances that are not busy, and marks them
+// busy.
+func (h *suspendRun) acquire(most int) (names []string) {
 	all := namesOf(h.w)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +68,7 @@
 	return names
 }
 
-func (h *history) done(names []string) {
+func (h *suspendRun) release(names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, name := range names {
@@ -76,52 +77,52 @@
 }
 
 // suspend suspends some instances for 0.5 to 20 s.
-func (h *history) suspend() {
-	names := h.pick([]int{1, 1, 2, len(h.w.nodes)}[h.draw(4)])
-	d := time.Duration(500+h.draw([]int{1500, 6000, 19500}[h.draw(3)])) * time.Millisecond
-	h.note("suspend %v for %s", names, d)
+func (h *suspendRun) suspend() {
+	names := h.acquire([]int{1, 1, 2, len(h.w.nodes)}[h.randN(4)])
+	d := time.Duration(500+h.randN([]int{1500, 6000, 19500}[h.randN(3)])) * time.Millisecond
+	h.logf("suspend %v for %s", names, d)
 	h.wait.Go(func() {
 		h.w.suspend(d, names...)
-		h.done(names)
+		h.release(names)
 	})
 }
 
-// edit adds the route, or takes the first key away.
-func (h *history) edit() {
+// edit adds the route on the first call, and revokes the first key on the second.
+func (h *suspendRun) edit() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.version++
 	keys := []string{"k1", "k2"}
 	if h.added.IsZero() {
 		h.added = time.Now()
-	} else if h.taken.IsZero() {
-		h.taken = time.Now()
+	} else if h.revoked.IsZero() {
+		h.revoked = time.Now()
 	}
-	if !h.taken.IsZero() {
+	if !h.revoked.IsZero() {
 		keys = keys[1:]
 	}
 	h.w.configure(h.version, keys...)
-	h.story = append(h.story, fmt.Sprint(time.Now().Format("05.000 "), "configuration ", h.version, keys))
+	h.events = append(h.events, fmt.Sprint(time.Now().Format("05.000 "), "configuration ", h.version, keys))
 }
 
-// trouble makes the store refuse instances for a while.
-func (h *history) trouble() {
-	names := h.pick(1 + h.draw(2))
-	d := time.Duration(500+h.draw(4000)) * time.Millisecond
-	h.note("store turns %v away for %s", names, d)
+// refuse makes the store refuse one or two instances for a while.
+func (h *suspendRun) refuse() {
+	names := h.acquire(1 + h.randN(2))
+	d := time.Duration(500+h.randN(4000)) * time.Millisecond
+	h.logf("store refuses %v for %s", names, d)
 	h.wait.Go(func() {
 		h.w.fault(storetest.Faults{Busy: true}, names...)
 		time.Sleep(d)
 		h.w.fault(storetest.Faults{}, names...)
-		h.done(names)
+		h.release(names)
 	})
 }
 
-// ask sends a request and checks what became of it.
-func (h *history) ask(i int) {
-	name := fmt.Sprint("n", h.draw(len(h.w.nodes)))
-	path := []string{"/safe/a", "/once/a", "/new/a"}[h.draw(3)]
-	key := []string{"k1", "k2"}[h.draw(2)]
+// ask sends a request and checks its outcome.
+func (h *suspendRun) ask(i int) {
+	name := fmt.Sprint("n", h.randN(len(h.w.nodes)))
+	path := []string{"/safe/a", "/once/a", "/new/a"}[h.randN(3)]
+	key := []string{"k1", "k2"}[h.randN(2)]
 	id := fmt.Sprint(name, "/", i)
 	h.mu.Lock()
 	since := func(at time.Time) time.Duration {
@@ -130,43 +131,43 @@
 		}
 		return time.Since(at)
 	}
-	taken, added := since(h.taken), since(h.added)
+	revoked, added := since(h.revoked), since(h.added)
 	if path == "/once/a" {
 		h.once = append(h.once, id)
 	}
 	h.mu.Unlock()
 	h.wait.Go(func() {
 		status := h.w.ask(name, path, key, id)
-		if key == "k1" && taken > h.w.settings("n0", 1).Bounds.Revoke() && h.w.runsOf(id) > 0 {
-			h.w.t.Errorf("%s ran with a key that was taken away %s before it was sent", id, taken)
+		if key == "k1" && revoked > h.w.settings("n0", 1).Bounds.Revoke() && h.w.runsOf(id) > 0 {
+			h.w.t.Errorf("%s ran with a key that was revoked %s before the request was sent", id, revoked)
 		}
 		if path == "/new/a" && key == "k2" && added > denyBound && status == http.StatusNotFound {
-			h.w.t.Errorf("%s was told of no route %s after it was added", id, added)
+			h.w.t.Errorf("%s got 404 %s after the route was added", id, added)
 		}
 	})
 }
 
-// play makes a history.
-func (h *history) play() {
+// run sends requests while it triggers random suspensions, edits and store faults.
+func (h *suspendRun) run() {
 	for i := range int(runFor / askEvery) {
 		time.Sleep(askEvery)
 		h.ask(i)
 		switch {
 		case i%25 != 0:
-		case h.draw(3) == 0:
+		case h.randN(3) == 0:
 			h.suspend()
-		case h.draw(4) == 0:
+		case h.randN(4) == 0:
 			h.edit()
-		case h.draw(4) == 0:
-			h.trouble()
+		case h.randN(4) == 0:
+			h.refuse()
 		}
 	}
 	h.wait.Wait()
 }
 
-// check asserts what holds at the end: nothing unrepeatable ran twice, orders of one holder
-// came after those of the one before, and all instances serve.
-func (h *history) check() {
+// check asserts the invariants at the end: no unsafe request ran twice, the platform saw no reports
+// of an earlier leader after those of a later one, and all instances serve.
+func (h *suspendRun) check() {
 	w := h.w
 	for _, id := range h.once {
 		if runs := w.runsOf(id); runs > 1 {
@@ -174,19 +175,19 @@
 		}
 	}
 	w.cloud.mu.Lock()
-	for _, fault := range w.cloud.faults {
-		w.t.Error(fault)
+	for _, violation := range w.cloud.violations {
+		w.t.Error(violation)
 	}
 	w.cloud.mu.Unlock()
 	time.Sleep(15 * time.Second) // recover_s and the length of a lease
 	for _, name := range namesOf(w) {
 		if status := w.ask(name, "/once/a", "k2", name+"/last"); status != http.StatusOK || !w.ready(name) {
-			w.t.Errorf("%s answers %d at the end, ready: %v", name, status, w.ready(name))
+			w.t.Errorf("at the end %s answers status %d, ready: %v", name, status, w.ready(name))
 		}
 	}
 }
 
-// seeds returns how many random runs a test plays.
+// seeds returns the number of random runs of a test.
 func seeds() int {
 	if n, err := strconv.Atoi(os.Getenv("SHELFCRANK_SEEDS")); err == nil {
 		return n
@@ -196,16 +197,16 @@
 
 func TestRandomSuspensions(t *testing.T) {
 	for seed := range seeds() {
-		nodes := 4
+		instances := 4
 		if seed%16 == 15 {
-			nodes = large
+			instances = large
 		}
-		play(t, nodes, func(_ *is.I, w *world) {
-			h := &history{w: w, rnd: rand.New(rand.NewPCG(uint64(seed), 40)), busy: make(map[string]bool), version: 1}
-			h.play()
+		play(t, instances, func(_ *is.I, w *world) {
+			h := &suspendRun{w: w, rnd: rand.New(rand.NewPCG(uint64(seed), 40)), busy: make(map[string]bool), version: 1}
+			h.run()
 			h.check()
 			if t.Failed() {
-				t.Fatalf("seed %d, %d instances: %q", seed, nodes, h.story)
+				t.Fatalf("seed %d, %d instances: %q", seed, instances, h.events)
 			}
 		}, suspendable, func(w *world) { w.halls = 2 })
 	}
--- a/internal/front/traffic_test.go
+++ b/internal/front/traffic_test.go
@@ -12,8 +12,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/peer"
 )
 
-// flows sums what all instances told each other, by kind.
-func (w *world) flows() map[peer.Flow]peer.Volume {
+// traffic sums the traffic between all instances by kind.
+func (w *world) traffic() map[peer.Flow]peer.Volume {
 	sum := make(map[peer.Flow]peer.Volume)
 	for _, r := range w.nodes {
 		for f, v := range r.node.peers.Traffic() {
@@ -25,9 +25,9 @@
 	return sum
 }
 
-// told logs what was told since an earlier moment, and returns the bytes.
+// logTraffic logs the traffic since an earlier snapshot of traffic, and returns its bytes.
 func (w *world) logTraffic(phase string, before map[peer.Flow]peer.Volume) (total int64) {
-	for f, v := range w.flows() {
+	for f, v := range w.traffic() {
 		b := before[f]
 		sent, received := v.Sent-b.Sent, v.Received-b.Received
 		total += sent + received
@@ -36,36 +36,37 @@
 	return total
 }
 
-// serversEach is the number of servers for each instance: 30, so that 100 instances have as
-// many as 300 have of 10, the size to come.
-const serversEach = 30
+// endpointsPerInstance gives 100 instances as many endpoints as a fleet of 300 instances with 10
+// each.
+const endpointsPerInstance = 30
 
-// What instances exchange while a fleet starts, with servers that
-// register within 1.5 s, and while nothing happens. At 300 instances those that read the
-// store passed 665 MB on to the others, 2.2 MB to each of them: its list of changes was shorter than
-// what changes between two questions of an instance, which then got all entries, again and again. By hand for other sizes:
-// SHELFCRANK_FLEET=300 go test ./internal/front -run TestWhatInstancesTell -v
+// Bounds the traffic between instances while a fleet starts, with endpoints that register within
+// 1.5 s, and logs the traffic of an idle fleet. It guards against a mirror whose list of changes is
+// shorter than the number of changes between two requests of an instance, which then gets all
+// entries again each time: at 300 instances the readers sent 665 MB, 2.2 MB to each of the others.
+// To run it with another size:
+// SHELFCRANK_FLEET=300 go test ./internal/front -run TestGossipVolume -v
 func TestGossipVolume(t *testing.T) {
-	nodes := fleetSize(100, 40)
+	instances := fleetSize(100, 40)
 	if n, err := strconv.Atoi(os.Getenv("SHELFCRANK_FLEET")); err == nil {
-		nodes = n
+		instances = n
 	}
-	play(t, nodes, func(is *is.I, w *world) {
+	play(t, instances, func(is *is.I, w *world) {
 		begun := time.Now()
 		listing := int64(0) // bytes of all entries
-		for i := range serversEach * nodes {
+		for i := range endpointsPerInstance * instances {
 			listing += int64(w.putServer(testServers+i, false))
-			if i%nodes == 0 {
+			if i%instances == 0 {
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 		time.Sleep(8 * time.Second)
 		start := w.logTraffic(fmt.Sprintf("start (%s)", time.Since(begun)), nil)
-		before := w.flows()
+		before := w.traffic()
 		time.Sleep(10 * time.Second)
-		quiet := w.logTraffic("quiet 10 s", before)
-		t.Logf("%d instances: %d kB each at the start, %d bytes a second each after it", nodes, start/int64(nodes)/1000, quiet/int64(nodes)/10)
+		quiet := w.logTraffic("idle for 10 s", before)
+		t.Logf("%d instances: %d kB each at the start, then %d bytes per second each", instances, start/int64(instances)/1000, quiet/int64(instances)/10)
 		t.Logf("all entries: %d kB", listing/1000)
-		is.True(start < 3*int64(nodes)*listing/2) // each instance is told each entry once, and a few things beside
+		is.True(start < 3*int64(instances)*listing/2) // each instance gets each entry once, plus other traffic
 	}, func(w *world) { w.halls = 4 })
 }
--- a/internal/front/versions.go
+++ b/internal/front/versions.go
@@ -13,15 +13,15 @@
 	"github.com/shelfcrank/shelfcrank/internal/peerpb"
 )
 
-// Times of getting a configuration from another instance.
+// Intervals and time-outs for fetching a configuration from another instance.
 const (
-	versionLook  = 300 * time.Millisecond
-	versionAfter = rewriteWithin   // that another instance has a later version which the store does not bring here
-	versionStart = 5 * time.Second // an instance counts as starting
-	fetchTimeout = time.Second
+	versionCheckInterval = 300 * time.Millisecond
+	versionGrace         = restoreSettleTime // how long the store has to deliver a later version that another instance holds
+	startupPeriod        = 5 * time.Second   // how long after its start an instance counts as starting
+	fetchTimeout         = time.Second
 )
 
-// peerConfig brings the configuration that another instance has in force.
+// peerConfig carries the configuration that another instance has in force.
 type peerConfig struct {
 	value []byte
 	from  string
@@ -29,10 +29,10 @@
 
 func (peerConfig) change() {}
 
-// fetchVersions gets versions that are missing here, until ctx ends.
+// fetchVersions fetches newer configurations that only other instances have, until ctx ends.
 func (n *Instance) fetchVersions(ctx context.Context) error {
-	for n.Clock.Sleep(ctx, versionLook) {
-		from, ok := n.versions.Missing(n.Clock.Now(), n.versionPatience())
+	for n.Clock.Sleep(ctx, versionCheckInterval) {
+		from, ok := n.versions.Missing(n.Clock.Now(), n.missingVersionGrace())
 		if !ok {
 			continue
 		}
@@ -47,16 +47,17 @@
 	return ctx.Err()
 }
 
-// versionPatience returns how long the store is given to bring a version that another instance
-// has. Where it was restored, an instance that starts knows only what the store still has.
-func (n *Instance) versionPatience() time.Duration {
-	if n.Store.Era() > 0 && n.Clock.Since(n.start) < versionStart {
+// missingVersionGrace returns how long to wait for the store to deliver a version that another
+// instance has. An instance that starts after a restore of the store does not wait: it has only
+// the configuration that the restored copy holds.
+func (n *Instance) missingVersionGrace() time.Duration {
+	if n.Store.Era() > 0 && n.Clock.Since(n.start) < startupPeriod {
 		return 0
 	}
-	return versionAfter
+	return versionGrace
 }
 
-// fetchConfig asks an instance for the configuration in force there.
+// fetchConfig requests the configuration in force at another instance.
 func (n *Instance) fetchConfig(ctx context.Context, from string) ([]byte, error) {
 	for _, m := range n.state.members.list() {
 		if m.Name != from {
@@ -66,11 +67,11 @@
 		defer cancel()
 		a, err := n.peers.Call(ctx, m.Addr, &peerpb.Call{Body: &peerpb.Call_FetchConfig{FetchConfig: &peerpb.FetchConfig{}}})
 		if err != nil {
-			return nil, fmt.Errorf("get the configuration from %s: %w", from, err)
+			return nil, fmt.Errorf("fetch configuration from %s: %w", from, err)
 		}
 		return mirror.Unpack(a.GetConfig().GetPacked())
 	}
-	return nil, fault.New(fault.StepPeer, from, fault.KindNotFound, fault.NotRun, "no member any more")
+	return nil, fault.New(fault.StepPeer, from, fault.KindNotFound, fault.NotRun, "no longer a member")
 }
 
 // serveConfig answers with the configuration in force here.
@@ -78,8 +79,8 @@
 	return answer(&peerpb.Answer{Body: &peerpb.Answer_Config{Config: &peerpb.ConfigAnswer{Packed: mirror.Pack(n.versions.Value())}}})
 }
 
-// takePeerConfig puts a later version in force that the store does not have.
-func (s *state) takePeerConfig(c peerConfig) {
+// applyPeerConfig puts a later version in force that the store does not have.
+func (s *state) applyPeerConfig(c peerConfig) {
 	next, err := s.instance.Decoder.Config(c.value)
 	if err != nil {
 		s.instance.versions.Forget(c.from)
--- a/internal/front/world_test.go
+++ b/internal/front/world_test.go
@@ -32,11 +32,11 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
-// plain names headers and keys in the plainest way; values are JSON of the
-// product's own types.
-type plain struct{}
+// testPlatform is a minimal platform protocol: plain header and key names, and values that are the
+// JSON of the product's own types.
+type testPlatform struct{}
 
-func (plain) Answer(status int, h http.Header) backend.Answer {
+func (testPlatform) Answer(status int, h http.Header) backend.Answer {
 	a := backend.Answer{RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest}
 	a.Notice.Leaving = h.Get("Leaving") != ""
 	if text := h.Get("Limit"); text != "" {
@@ -48,7 +48,7 @@
 	return a
 }
 
-func (plain) Request(h http.Header) forward.Meta {
+func (testPlatform) Request(h http.Header) forward.Meta {
 	m := forward.Meta{ID: h.Get("Id"), Key: h.Get("Key")}
 	if ms, err := strconv.Atoi(h.Get("Deadline")); err == nil {
 		m.Allowed, m.HasDeadline = time.Duration(ms)*time.Millisecond, true
@@ -56,25 +56,25 @@
 	return m
 }
 
-func (plain) Clean(h http.Header) { h.Del("Key"); h.Del("Connection"); h.Del("Content-Length") }
-func (plain) CleanAnswer(h http.Header) {
+func (testPlatform) Clean(h http.Header) { h.Del("Key"); h.Del("Connection"); h.Del("Content-Length") }
+func (testPlatform) CleanAnswer(h http.Header) {
 	h.Del("Connection")
 	h.Del("Content-Length")
 	h.Del("Transfer-Encoding")
 }
-func (plain) Outgoing(h http.Header, o forward.Outgoing) {
+func (testPlatform) Outgoing(h http.Header, o forward.Outgoing) {
 	h.Set("Server", o.Endpoint)
 	h.Set("Account", o.Account)
 }
-func (plain) RetryAfter(h http.Header, wait time.Duration) {
+func (testPlatform) RetryAfter(h http.Header, wait time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 }
 
-func (plain) OperatorPrefix() string { return "op/" }
-func (plain) ConfigKey() string      { return "op/config" }
-func (plain) EndpointPrefix() string { return "server/" }
-func (plain) OwnPrefix() string      { return "own/" }
-func (plain) Config(value []byte) (*policy.Config, error) {
+func (testPlatform) OperatorPrefix() string { return "op/" }
+func (testPlatform) ConfigKey() string      { return "op/config" }
+func (testPlatform) EndpointPrefix() string { return "server/" }
+func (testPlatform) OwnPrefix() string      { return "own/" }
+func (testPlatform) Config(value []byte) (*policy.Config, error) {
 	var c policy.Config
 	if err := json.Unmarshal(value, &c); err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 
 var errNoAddress = errors.New("no address")
 
-func (plain) EndpointID(key string) (string, bool) { return strings.CutPrefix(key, "server/") }
-func (plain) Endpoint(id string, value []byte, _ time.Time) (registry.Endpoint, error) {
+func (testPlatform) EndpointID(key string) (string, bool) { return strings.CutPrefix(key, "server/") }
+func (testPlatform) Endpoint(id string, value []byte, _ time.Time) (registry.Endpoint, error) {
 	var s registry.Endpoint
 	err := json.Unmarshal(value, &s)
 	s.ID, s.Name = registry.IncarnationID(id, s.StartedAt), id
@@ -94,24 +94,24 @@
 	}
 	return s, err
 }
-func (plain) Order(key string, value []byte) (rollout.Order, bool, error) {
+func (testPlatform) Order(key string, value []byte) (rollout.Order, bool, error) {
 	service, ok := strings.CutPrefix(key, "op/rollout/")
 	var o rollout.Order
 	err := json.Unmarshal(value, &o)
 	o.Service = service
 	return o, ok, err
 }
-func (plain) Status(r rollout.Record) (string, []byte, error) {
+func (testPlatform) Status(r rollout.Record) (string, []byte, error) {
 	return "status/rollout/" + r.Service, []byte(r.Phase), nil
 }
 
-// cloud notes what the one node that acts for all tells.
+// cloud records the leader's usage reports and checks their order and consistency.
 type cloud struct {
-	mu      sync.Mutex
-	windows map[int64]map[string]int64
-	fences  []store.Revision
-	faults  []string
-	down    bool
+	mu         sync.Mutex
+	windows    map[int64]map[string]int64
+	fences     []store.Revision
+	violations []string
+	down       bool
 }
 
 func (c *cloud) ReportUsage(ctx context.Context, d duty.Token, window int64, counts map[string]int64) error {
@@ -122,11 +122,11 @@
 		return duty.ErrRefused
 	}
 	if n := len(c.fences); n > 0 && d.Fence < c.fences[n-1] {
-		c.faults = append(c.faults, fmt.Sprintf("fence %d after %d", d.Fence, c.fences[n-1]))
+		c.violations = append(c.violations, fmt.Sprintf("fence %d after %d", d.Fence, c.fences[n-1]))
 	}
 	c.fences = append(c.fences, d.Fence)
 	if old, ok := c.windows[window]; ok && !maps.Equal(old, counts) {
-		c.faults = append(c.faults, fmt.Sprintf("window %d told as %v and as %v", window, old, counts))
+		c.violations = append(c.violations, fmt.Sprintf("window %d reported as %v and as %v", window, old, counts))
 	}
 	c.windows[window] = counts
 	return ctx.Err()
@@ -134,66 +134,67 @@
 
 func (c *cloud) Order(context.Context, duty.Token, string, string, int, bool) error { return nil }
 
-// world is a small deployment in virtual time.
+// testCluster is a small deployment in virtual time.
 type world struct {
 	t      *testing.T
 	mem    *netx.Mem
 	store  *storetest.Store
 	cloud  *cloud
-	nodes  map[string]*running
+	nodes  map[string]*testInstance
 	client *http.Client
 	starts int
-	// lenient is set where a key taken away binds only nodes that can know of it.
-	lenient bool
-	excused func(request string) bool // whether its instance could not read the store of late
-	listing time.Duration             // added to a listing of the servers
-	rate    float64                   // limit of the client account, requests a second; 0 for none
-	burst   float64
-	over    float64 // share of a limit by which a window may go over it
-
-	mu        sync.Mutex
-	runs      map[string]int       // by request id; guarded by mu
-	hold      time.Duration        // how long servers work; guarded by mu
-	last      map[string]time.Time // last request at each server; guarded by mu
-	slow      map[string]bool      // sites that everything takes long to; guarded by mu
-	out       map[string]time.Time // since when a server's entry allows no new work; guarded by mu
-	cancelled map[string]time.Time // when servers were told to stop work, by request id; guarded by mu
-	bad       []string             // what was seen that must not be; guarded by mu
-
-	rolls      *rolls      // set where the world has roll-outs
-	statements *statements // what servers say of themselves in their answers, and what follows
-
-	halls    int                           // that instances are spread over
-	servers  int                           // how many there are
-	deaths   *deaths                       // servers that end under a request
-	limits   *rateLimits                   // that servers name
-	machines map[string]*clocktest.Machine // of the nodes, where these can be suspended; else nil
-	restarts sync.WaitGroup                // of servers that ended
-}
-
-// slowDelay is longer than hubs are waited for.
+	// lenientRevoke turns StrictRevoke off: revoked keys are accepted during an outage of the store
+	// for all instances.
+	lenient   bool
+	excused   func(request string) bool // whether the instance that got it was recently unable to read the store
+	listDelay time.Duration             // delay added to a listing of the endpoints
+	rate      float64                   // limit of the client account, requests a second; 0 for none
+	burst     float64
+	quotaOver float64 // share by which the requests in a window may exceed the limit
+
+	mu          sync.Mutex
+	runs        map[string]int       // by request id; guarded by mu
+	workTime    time.Duration        // how long endpoints work on a request; guarded by mu
+	lastRequest map[string]time.Time // time of the last request at each endpoint; guarded by mu
+	slowSites   map[string]bool      // sites that messages reach after slowDelay; guarded by mu
+	withdrawn   map[string]time.Time // since when an endpoint's entry forbids new requests; guarded by mu
+	cancelled   map[string]time.Time // when work on a request was cancelled at its endpoint, by request id; guarded by mu
+	bad         []string             // violations observed; guarded by mu
+
+	rolls      *rolls      // set if the cluster has roll-outs
+	statements *statements // announcements that endpoints make in their answers, and their effects
+
+	halls    int                           // number of halls that instances are spread over
+	servers  int                           // number of endpoints
+	deaths   *deaths                       // endpoints that end while they work on a request
+	limits   *rateLimits                   // rate limits that endpoints announce
+	hosts    map[string]*clocktest.Machine // hosts of the instances if these can be suspended; else nil
+	restarts sync.WaitGroup                // restarts of endpoints that ended
+}
+
+// slowDelay is longer than the time-out for offers of hubs.
 const slowDelay = 2 * offerTimeout
 
-// delay is how long a message takes from one site to another.
+// delay returns the latency of a message from one site to another.
 func (w *world) delay(_, to string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.slow[to] {
+	if w.slowSites[to] {
 		return slowDelay
 	}
 	return time.Millisecond
 }
 
-// slowDown makes everything that is sent to the nodes take long.
+// slowDown delays every message to the instances by slowDelay.
 func (w *world) slowDown(names ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range names {
-		w.slow[w.nodes[name].site] = true
+		w.slowSites[w.nodes[name].site] = true
 	}
 }
 
-type running struct {
+type testInstance struct {
 	node *Instance
 	site string
 	stop context.CancelFunc
@@ -207,24 +208,24 @@
 	testServers = 3
 )
 
-func newWorld(t *testing.T, nodes int, options ...func(*world)) *world {
+func newTestCluster(t *testing.T, instances int, options ...func(*world)) *world {
 	t.Helper()
 	w := &world{
 		t: t, store: storetest.New(),
-		cloud: &cloud{windows: make(map[int64]map[string]int64)}, nodes: make(map[string]*running),
-		runs: make(map[string]int), cancelled: make(map[string]time.Time), hold: 20 * time.Millisecond, last: make(map[string]time.Time), slow: make(map[string]bool), out: make(map[string]time.Time),
+		cloud: &cloud{windows: make(map[int64]map[string]int64)}, nodes: make(map[string]*testInstance),
+		runs: make(map[string]int), cancelled: make(map[string]time.Time), workTime: 20 * time.Millisecond, lastRequest: make(map[string]time.Time), slowSites: make(map[string]bool), withdrawn: make(map[string]time.Time),
 		statements: newStatements(), halls: 1, excused: func(string) bool { return false }, servers: testServers, deaths: newDeaths(), limits: newRateLimits(),
 	}
 	w.mem = netx.NewMem(w.delay)
-	for _, set := range options {
-		set(w)
+	for _, option := range options {
+		option(w)
 	}
 	w.client = &http.Client{Transport: netx.Transport(w.mem.Site("client"))}
 	w.configure(1, "k1", "k2")
 	for i := range w.servers {
 		w.startServer(i)
 	}
-	for i := range nodes {
+	for i := range instances {
 		w.start(fmt.Sprint("n", i))
 	}
 	time.Sleep(time.Second)
@@ -252,7 +253,7 @@
 
 func serverID(i int) string { return fmt.Sprint("s", i) }
 
-// putServer writes the entry of a server, and returns its size.
+// putEndpoint writes the entry of an endpoint, and returns its size.
 func (w *world) putServer(i int, leaving bool) int {
 	value, err := json.Marshal(registry.Endpoint{Service: "svc", Version: w.rolls.version(i), Addr: addrOf(100+i, 80), Hall: "z", Leaving: leaving})
 	if err != nil {
@@ -275,7 +276,7 @@
 	w.putServer(i, false)
 }
 
-// listenAs starts the process of a server.
+// listenAs starts the process of an endpoint.
 func (w *world) listenAs(i int) {
 	l, err := w.mem.Site(serverID(i)).Listen(addrOf(100+i, 80))
 	if err != nil {
@@ -283,7 +284,7 @@
 	}
 	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if w.survives(i, r) {
-			w.serve(serverID(i), rw, r)
+			w.handleRequest(serverID(i), rw, r)
 		}
 	})}
 	w.deaths.started(i, s)
@@ -291,51 +292,51 @@
 	w.t.Cleanup(func() { _ = s.Close() })
 }
 
-func (w *world) serve(server string, rw http.ResponseWriter, r *http.Request) {
+func (w *world) handleRequest(endpoint string, rw http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Id")
-	if r.Header.Get("Server") != server {
+	if r.Header.Get("Server") != endpoint {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	excused := w.excused(id)
 	w.mu.Lock()
 	w.runs[id]++
-	w.last[server] = time.Now()
-	if since := w.out[server]; !since.IsZero() && time.Since(since) > w.drain() && !excused {
-		w.bad = append(w.bad, fmt.Sprintf("%s reached %s %s after its entry said no", id, server, time.Since(since)))
+	w.lastRequest[endpoint] = time.Now()
+	if since := w.withdrawn[endpoint]; !since.IsZero() && time.Since(since) > w.drain() && !excused {
+		w.bad = append(w.bad, fmt.Sprintf("%s reached %s %s after its entry forbade new requests", id, endpoint, time.Since(since)))
 	}
-	hold := w.hold
-	w.limits.arrives(server, id, time.Now())
-	w.bad = append(w.bad, w.statements.arrives(server, id, w.drain(), time.Now())...)
+	hold := w.workTime
+	w.limits.arrives(endpoint, id, time.Now())
+	w.bad = append(w.bad, w.statements.arrives(endpoint, id, w.drain(), time.Now())...)
 	w.mu.Unlock()
-	if status := w.statements.answer(server, id, rw.Header(), time.Now()); status != 0 {
-		w.limits.answers(server, id, rw.Header(), time.Now())
+	if status := w.statements.answer(endpoint, id, rw.Header(), time.Now()); status != 0 {
+		w.limits.answers(endpoint, id, rw.Header(), time.Now())
 		rw.WriteHeader(status)
 		return
 	}
-	stop := context.AfterFunc(r.Context(), func() { w.noteCancelled(id) })
+	stop := context.AfterFunc(r.Context(), func() { w.recordCancelled(id) })
 	defer stop()
-	hold, fails := w.rolls.serve(server, r.URL.Path, hold)
+	hold, fails := w.rolls.serve(endpoint, r.URL.Path, hold)
 	fails = fails || w.deaths.failsFirst(id)
 	time.Sleep(hold)
-	w.rolls.served(server)
+	w.rolls.served(endpoint)
 	rw.Header().Set("Id", id)
-	rw.Header().Set("Seal", "of "+server)
-	w.limits.answers(server, id, rw.Header(), time.Now())
+	rw.Header().Set("Seal", "of "+endpoint)
+	w.limits.answers(endpoint, id, rw.Header(), time.Now())
 	if fails {
 		rw.WriteHeader(http.StatusInternalServerError)
 	}
 	_, _ = io.WriteString(rw, "answer to "+id)
 }
 
-// drain is the bound within which a server that leaves gets no new work.
+// drain returns the bound after which an endpoint that leaves gets no new requests.
 func (w *world) drain() time.Duration { return w.settings("n0", 1).Bounds.Drain() }
 
 func (w *world) settings(name string, host int) settings.Front {
 	return settings.Front{
 		Name: name, Hall: w.hall(host), Front: addrOf(host, frontPort), Ready: addrOf(host, readyPort), Peer: addrOf(host, 8002), Metrics: addrOf(host, 8003),
-		Bounds: settings.Bounds{RevokeMs: 5000, StrictRevoke: !w.lenient, ConfigMs: 2000, OuterMs: 5000, DrainMs: 2000, GraceS: 8, RetryRatio: 0.2, RetrySlack: 50, RetryWindowS: 10, LeaseMs: 3000, UsageWindowS: 5, UsageLateS: 10, QuotaWindowS: 8, QuotaOver: w.over, ExposeShare: w.rolls.share(), ExposeSlack: exposeSlack},
+		Bounds: settings.Bounds{RevokeMs: 5000, StrictRevoke: !w.lenient, ConfigMs: 2000, OuterMs: 5000, DrainMs: 2000, GraceS: 8, RetryRatio: 0.2, RetrySlack: 50, RetryWindowS: 10, LeaseMs: 3000, UsageWindowS: 5, UsageLateS: 10, QuotaWindowS: 8, QuotaOver: w.quotaOver, ExposeShare: w.rolls.share(), ExposeSlack: exposeSlack},
 	}
 }
 
@@ -347,15 +348,15 @@
 	return 1 + n
 }
 
-// slowListing is a store that lists the servers late.
+// slowListing is a store that delays listings of the endpoints.
 type slowListing struct {
 	Store
-	late time.Duration
+	delay time.Duration
 }
 
 func (s slowListing) Range(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
-	if prefix == (plain{}).EndpointPrefix() {
-		time.Sleep(s.late)
+	if prefix == (testPlatform{}).EndpointPrefix() {
+		time.Sleep(s.delay)
 	}
 	return s.Store.Range(ctx, prefix)
 }
@@ -364,20 +365,20 @@
 	w.starts++
 	site := fmt.Sprint(name, "-", w.starts)
 	o := Options{
-		Settings: w.settings(name, hostOf(name)), Net: w.mem.Site(site), Store: slowListing{w.store.Client(name), w.listing}, Cloud: w.cloud,
-		Decoder: plain{}, Protocol: plain{}, Log: zap.NewNop(), Seed: uint64(w.starts),
+		Settings: w.settings(name, hostOf(name)), Net: w.mem.Site(site), Store: slowListing{w.store.Client(name), w.listDelay}, Cloud: w.cloud,
+		Decoder: testPlatform{}, Protocol: testPlatform{}, Log: zap.NewNop(), Seed: uint64(w.starts),
 	}
-	if w.machines != nil {
-		w.machines[name] = clocktest.New()
-		o.Clock = clock.New(w.machines[name])
-		o.Cloud = machineCloud{w.cloud, w.machines[name]}
+	if w.hosts != nil {
+		w.hosts[name] = clocktest.New()
+		o.Clock = clock.New(w.hosts[name])
+		o.Cloud = suspendableCloud{w.cloud, w.hosts[name]}
 	}
 	n, err := New(o)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{n, site, stop, make(chan struct{})}
+	r := &testInstance{n, site, stop, make(chan struct{})}
 	w.nodes[name] = r
 	go func() {
 		defer close(r.done)
@@ -387,10 +388,10 @@
 	}()
 }
 
-// kill ends the network of nodes at the same moment; the rest of them ends
-// unheard.
+// kill cuts instances off the network and the store at the same moment and then stops them, so that
+// nothing they do while stopping is seen by others.
 func (w *world) kill(names ...string) {
-	var killed []*running
+	var killed []*testInstance
 	for _, name := range names {
 		r := w.nodes[name]
 		delete(w.nodes, name)
@@ -409,14 +410,14 @@
 	}
 }
 
-// fault sets how the store serves nodes.
+// fault sets the faults with which the store serves instances.
 func (w *world) fault(f storetest.Faults, names ...string) {
 	for _, name := range names {
 		w.store.SetFaults(name, f)
 	}
 }
 
-// restart stops a node as planned and starts it again.
+// restart stops an instance gracefully and starts it again.
 func (w *world) restart(name string) {
 	r := w.nodes[name]
 	r.stop()
@@ -436,16 +437,16 @@
 	time.Sleep(10 * time.Second)
 }
 
-// ask sends a request to a node and returns the status, 0 if there was none.
-func (w *world) ask(node, path, key, id string) int {
-	return w.askUntil(node, path, key, id, 3*time.Second)
+// ask sends a request to an instance and returns the status, 0 if there was no answer.
+func (w *world) ask(instance, path, key, id string) int {
+	return w.askUntil(instance, path, key, id, 3*time.Second)
 }
 
-// askUntil is ask for a client that leaves after a while.
-func (w *world) askUntil(node, path, key, id string, stay time.Duration) int {
+// askUntil is ask for a client that disconnects after stay.
+func (w *world) askUntil(instance, path, key, id string, stay time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), stay)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addrOf(hostOf(node), frontPort).String()+path, io.MultiReader(strings.NewReader("body")))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addrOf(hostOf(instance), frontPort).String()+path, io.MultiReader(strings.NewReader("body")))
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -465,10 +466,10 @@
 	return resp.StatusCode
 }
 
-func (w *world) ready(node string) bool {
+func (w *world) ready(instance string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addrOf(hostOf(node), readyPort).String()+"/", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addrOf(hostOf(instance), readyPort).String()+"/", nil)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -480,14 +481,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// noteCancelled notes that the work on a request was cancelled at its server.
-func (w *world) noteCancelled(id string) {
+// recordCancelled records that work on a request was cancelled at its endpoint.
+func (w *world) recordCancelled(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cancelled[id] = time.Now()
 }
 
-// cancelledAt returns when the work on a request was cancelled; zero if it was not.
+// cancelledAt returns when work on a request was cancelled; zero if it was not.
 func (w *world) cancelledAt(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -500,23 +501,23 @@
 	return w.runs[id]
 }
 
-// started returns how many requests ran.
+// started returns the number of requests that ran.
 func (w *world) started() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.runs)
 }
 
-// work sets how long servers work on a request.
+// setWorkTime sets how long endpoints work on a request.
 func (w *world) work(hold time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hold = hold
+	w.workTime = hold
 }
 
-// lastAt returns when a server got its last request.
-func (w *world) lastAt(server string) time.Time {
+// lastRequestAt returns when an endpoint got its last request.
+func (w *world) lastAt(endpoint string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.last[server]
+	return w.lastRequest[endpoint]
 }
