--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,14 +1,15 @@
-// Package clock tells the time that passes, a suspension of the machine included.
+// Package clock provides a clock that includes the time for which the instance was suspended.
 //
-// What binds others (leases, proofs, deadlines, rests, windows of limits) goes on while this
-// machine is suspended, but Go's steady clock, on which time.Now, timers and contexts run, stands
-// still. A Clock follows the machine's boot time instead. Its times can be compared
-// with each other, and with those of time.Now for as long as the machine was not suspended.
+// Leases, freshness proofs, deadlines, back-off periods and rate-limit windows are agreed with
+// other processes and keep running while this instance is suspended. Go's monotonic clock, on
+// which time.Now, timers and contexts run, stops during a suspension. A Clock follows the
+// boot-time clock of the operating system instead. Its times can be compared with each other,
+// and with those of time.Now as long as the instance has not been suspended.
 //
-// Timers and deadlines of contexts still run on the steady clock: whether something is over
-// is asked of a Clock, never taken from a timer that has not fired.
+// Timers and context deadlines still run on the monotonic clock. To find out whether a time
+// has passed, ask a Clock; that a timer has not fired yet proves nothing.
 //
-// Clock is safe for concurrent use. A nil Clock tells the steady time.
+// Clock is safe for concurrent use. A nil Clock uses Go's monotonic clock.
 package clock
 
 import (
@@ -17,47 +18,48 @@
 	"time"
 )
 
-// Machine is the part of a machine that a clock reads.
-type Machine interface {
-	// Counts says why Boot cannot be told, or nil.
-	Counts() error
-	// Boot returns the time since some moment of the past, suspensions included.
-	Boot() time.Duration
-	// Steady returns the same without the time for which the machine was suspended.
-	Steady() time.Duration
-	// After returns a channel that gets the time after d on the steady clock.
+// TimeSource gives access to the clocks and timers of the operating system.
+type TimeSource interface {
+	// BootTimeErr returns the reason why BootTime is not available, or nil if it is.
+	BootTimeErr() error
+	// BootTime returns the time since a fixed moment in the past, including suspensions.
+	BootTime() time.Duration
+	// Monotonic returns the time since a fixed moment in the past, excluding suspensions.
+	Monotonic() time.Duration
+	// After returns a channel that receives the time after d on the monotonic clock.
 	After(d time.Duration) <-chan time.Time
-	// AfterFunc calls f after d on the steady clock.
+	// AfterFunc calls f after d on the monotonic clock.
 	AfterFunc(d time.Duration, f func()) Timer
 }
 
-// Timer is a call to come.
+// Timer is a pending call started by AfterFunc.
 type Timer interface {
+	// Stop cancels the call. It reports false if the call was already made or cancelled.
 	Stop() bool
 }
 
-// Clock tells the time.
+// Clock returns the current time, including the time for which the instance was suspended.
 type Clock struct {
-	machine Machine
-	start   time.Time     // with a steady reading
-	boot    time.Duration // the machine's boot time at the start
-	err     error         // why the boot time cannot be told
+	source    TimeSource
+	start     time.Time     // with a monotonic reading
+	startBoot time.Duration // boot time at start
+	err       error         // why the boot time is not available; nil if it is
 
 	mu      sync.Mutex
-	numbers uint64             // of deadlines so far; guarded by mu
-	pending map[uint64]pending // by number; guarded by mu
+	lastID  uint64             // latest deadline ID given out; guarded by mu
+	pending map[uint64]pending // by deadline ID; guarded by mu
 }
 
-// New returns a clock of a machine. Where this cannot tell its boot time the clock stands still
-// while the machine is suspended, and Err says why.
-func New(m Machine) *Clock {
-	c := &Clock{machine: m, start: time.Now(), pending: make(map[uint64]pending)}
-	c.err = m.Counts()
-	c.boot = c.elapsed()
+// New returns a clock that reads source. If source has no boot time, the clock stops while the
+// instance is suspended, and Err returns the reason.
+func New(source TimeSource) *Clock {
+	c := &Clock{source: source, start: time.Now(), pending: make(map[uint64]pending)}
+	c.err = source.BootTimeErr()
+	c.startBoot = c.elapsed()
 	return c
 }
 
-// Err returns why the clock does not count suspensions, or nil.
+// Err returns the reason why the clock excludes suspensions, or nil if it includes them.
 func (c *Clock) Err() error {
 	if c == nil {
 		return nil
@@ -65,31 +67,31 @@
 	return c.err
 }
 
-// Now returns the time. Its time of day is the one of the clock's start and what has passed
-// since then.
+// Now returns the current time. Its time of day is the one at the clock's creation plus the
+// time elapsed since, so later changes of the system's time of day have no effect.
 func (c *Clock) Now() time.Time {
 	if c == nil {
 		return time.Now()
 	}
-	return c.start.Add(c.elapsed() - c.boot)
+	return c.start.Add(c.elapsed() - c.startBoot)
 }
 
-// elapsed returns the time since some moment of the past, suspensions included if they can be
-// told.
+// elapsed returns the time since a fixed moment in the past, including suspensions if the
+// boot time is available.
 func (c *Clock) elapsed() time.Duration {
 	if c.err != nil {
-		return c.machine.Steady()
+		return c.source.Monotonic()
 	}
-	return c.machine.Boot()
+	return c.source.BootTime()
 }
 
-// Since returns the time that has passed since t.
+// Since returns the time elapsed since t.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time left until t.
+// Until returns the time remaining until t.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Sleep waits for d on the steady clock, and reports false if ctx ends before.
+// Sleep waits for d on the monotonic clock. It reports false if ctx ends first.
 func (c *Clock) Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -99,21 +101,21 @@
 	}
 }
 
-// After returns a channel that gets the time after d on the steady clock.
+// After returns a channel that receives the time after d on the monotonic clock.
 func (c *Clock) After(d time.Duration) <-chan time.Time {
 	if c == nil {
 		return time.After(d)
 	}
-	return c.machine.After(d)
+	return c.source.After(d)
 }
 
 func (c *Clock) afterFunc(d time.Duration, f func()) Timer {
 	if c == nil {
 		return time.AfterFunc(d, f)
 	}
-	return c.machine.AfterFunc(d, f)
+	return c.source.AfterFunc(d, f)
 }
 
-// Steady returns when t will be on the steady clock, if the machine is not suspended until
-// then: what timers and deadlines of connections go by.
+// ToMonotonic converts t to a time of Go's monotonic clock, for timers and connection
+// deadlines. The result holds if the instance is not suspended before t.
 func (c *Clock) Steady(t time.Time) time.Time { return time.Now().Add(c.Until(t)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -28,7 +28,7 @@
 		time.Sleep(time.Second)
 		m.Suspend()
 		time.Sleep(5 * time.Second)
-		is.Equal(c.Since(begun), time.Second) // as long as it stands
+		is.Equal(c.Since(begun), time.Second) // still suspended: the clock has not moved
 		m.Resume()
 		is.Equal(c.Since(begun), 6*time.Second)
 		is.Equal(c.Until(begun.Add(10*time.Second)), 4*time.Second)
@@ -36,19 +36,19 @@
 	})
 }
 
-// mute is a machine that cannot tell its boot time.
-type mute struct{ *clocktest.Machine }
+// noBootTime is a time source without boot time.
+type noBootTime struct{ *clocktest.Machine }
 
-func (mute) Counts() error { return errMute }
+func (noBootTime) BootTimeErr() error { return errNoBootTime }
 
-var errMute = errors.New("no boot time")
+var errNoBootTime = errors.New("no boot time")
 
 func TestAClockWithoutBootTimeIsSteady(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := clocktest.New()
-		c := clock.New(mute{m})
-		is.Equal(c.Err(), errMute)
+		c := clock.New(noBootTime{m})
+		is.Equal(c.Err(), errNoBootTime)
 		begun := c.Now()
 		m.Suspend()
 		time.Sleep(5 * time.Second)
@@ -64,25 +64,25 @@
 		m := clocktest.New()
 		c := clock.New(m)
 		ctx, stop := context.WithCancel(context.Background())
-		wakings := make(chan clock.Resumption, 2)
-		go func() { _ = c.Run(ctx, func(w clock.Resumption) { wakings <- w }) }()
-		first, soon := c.WithDeadline(ctx, c.Now().Add(2*time.Second), errMute)
-		second, late := c.WithDeadline(ctx, c.Now().Add(8*time.Second), errMute)
-		third, stopped := c.WithDeadline(ctx, c.Now().Add(time.Second), errMute)
+		resumptions := make(chan clock.Resumption, 2)
+		go func() { _ = c.Run(ctx, func(r clock.Resumption) { resumptions <- r }) }()
+		first, soon := c.WithDeadline(ctx, c.Now().Add(2*time.Second), errNoBootTime)
+		second, late := c.WithDeadline(ctx, c.Now().Add(8*time.Second), errNoBootTime)
+		third, stopped := c.WithDeadline(ctx, c.Now().Add(time.Second), errNoBootTime)
 		stopped.Stop()
-		is.True(!errors.Is(context.Cause(third), errMute))
+		is.True(!errors.Is(context.Cause(third), errNoBootTime))
 		m.Suspend()
 		time.Sleep(5 * time.Second)
 		m.Resume()
 		time.Sleep(110 * time.Millisecond)
-		is.Equal(context.Cause(first), errMute)
+		is.Equal(context.Cause(first), errNoBootTime)
 		is.NoErr(second.Err())
-		w := <-wakings
-		is.Equal(w.Ended, 1)
-		is.Equal(w.Suspended, 5*time.Second)
+		r := <-resumptions
+		is.Equal(r.Ended, 1)
+		is.Equal(r.Suspended, 5*time.Second)
 		time.Sleep(9 * time.Second)
-		is.Equal(context.Cause(second), errMute)
-		is.Equal(len(wakings), 0)
+		is.Equal(context.Cause(second), errNoBootTime)
+		is.Equal(len(resumptions), 0)
 		soon.Stop()
 		late.Stop()
 		stop()
@@ -90,20 +90,23 @@
 	})
 }
 
-// serving are the packages in which what is assumed, promised or bounded hangs on time.
-var serving = []string{"front", "forward", "backend", "peer", "duty", "rollctl", "relay", "gateway", "entry", "control"}
+// servingPackages are the packages whose leases, deadlines and limits depend on a clock that
+// includes suspensions.
+var servingPackages = []string{"front", "forward", "backend", "peer", "duty", "rollctl", "relay", "gateway", "entry", "control"}
 
-// steadyTime is what tells the steady time, which stands still while the machine is suspended.
-var steadyTime = []string{"time.Now()", "time.Since(", "time.Until(", "context.WithDeadline(", "context.WithDeadlineCause("}
+// monotonicCalls are calls that read the monotonic clock, which stops while the instance is
+// suspended.
+var monotonicCalls = []string{"time.Now()", "time.Since(", "time.Until(", "context.WithDeadline(", "context.WithDeadlineCause("}
 
-// steadyUses are what may go by it: deadlines of connections and contexts, which run on that
-// clock, and dates.
-var steadyUses = []string{"Deadline(time.Now()", "time.Now().Unix(),", "time.Until(end)"}
+// monotonicAllowed are the permitted uses: deadlines of connections and contexts, which run on
+// the monotonic clock, and dates.
+var monotonicAllowed = []string{"Deadline(time.Now()", "time.Now().Unix(),", "time.Until(end)"}
 
-// TestServingAsksTheClock finds places that ask Go for the time.
+// TestServingPackagesUseClock fails where a serving package reads the monotonic clock instead of
+// a clock.Clock.
 func TestServingAsksTheClock(t *testing.T) {
 	is := is.New(t)
-	for _, name := range serving {
+	for _, name := range servingPackages {
 		files, err := filepath.Glob(filepath.Join("..", name, "*.go"))
 		is.NoErr(err)
 		is.True(len(files) > 0)
@@ -114,12 +117,12 @@
 			text, err := os.ReadFile(file)
 			is.NoErr(err)
 			for line := range bytes.Lines(text) {
-				if slices.ContainsFunc(steadyUses, func(use string) bool { return bytes.Contains(line, []byte(use)) }) {
+				if slices.ContainsFunc(monotonicAllowed, func(use string) bool { return bytes.Contains(line, []byte(use)) }) {
 					continue
 				}
-				for _, asks := range steadyTime {
-					if bytes.Contains(line, []byte(asks)) {
-						t.Errorf("%s asks for the steady time: %s", file, bytes.TrimSpace(line))
+				for _, call := range monotonicCalls {
+					if bytes.Contains(line, []byte(call)) {
+						t.Errorf("%s reads the monotonic clock: %s", file, bytes.TrimSpace(line))
 					}
 				}
 			}
@@ -127,7 +130,7 @@
 	}
 }
 
-// Before, with time.Now, a reading took 111 ns; by boot time it takes 311 ns.
+// BenchmarkNow measures one reading of the boot-time clock: 311 ns, against 111 ns for time.Now.
 func BenchmarkNow(b *testing.B) {
 	c := clock.New(clock.System{})
 	for b.Loop() {
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Deadline ends a context at a time by a clock. Where the machine is suspended until after it
-// the context ends as soon as Run sees that, and not as late as a timer would fire: that one
-// has all the time before it that it had at the suspension.
+// Deadline ends a context at a time of a Clock. If the instance is suspended past that time,
+// the context ends as soon as Run or a StallDetector detects the resumption. The timer alone
+// would fire late, since it does not run during the suspension.
 type Deadline struct {
 	clock  *Clock
-	number uint64 // among the clock's deadlines
+	id     uint64 // key in the clock's map of pending deadlines
 	timer  Timer
 	cancel context.CancelCauseFunc
 }
 
-// pending is a deadline that was not stopped.
+// pending is a deadline that has not been stopped.
 type pending struct {
 	at  time.Time
 	end func()
 }
 
-// WithDeadline returns a context that ends at a time, with a cause. The deadline has to be
-// stopped.
+// WithDeadline returns a context that ends with the given cause at the given time. The caller
+// must stop the returned Deadline to release its resources.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time, cause error) (context.Context, Deadline) {
 	ctx, cancel := context.WithCancelCause(parent)
 	left := c.Until(at)
@@ -30,32 +30,32 @@
 		cancel(cause)
 	}
 	end := func() { cancel(cause) }
-	return ctx, Deadline{clock: c, number: c.add(pending{at, end}), timer: c.afterFunc(left, end), cancel: cancel}
+	return ctx, Deadline{clock: c, id: c.add(pending{at, end}), timer: c.afterFunc(left, end), cancel: cancel}
 }
 
-// Stop ends the context, and releases what belongs to it.
+// Stop ends the context and releases its timer.
 func (d Deadline) Stop() {
 	d.timer.Stop()
-	d.clock.remove(d.number)
+	d.clock.remove(d.id)
 	d.cancel(nil)
 }
 
-func (c *Clock) add(p pending) (number uint64) {
+func (c *Clock) add(p pending) (id uint64) {
 	if c == nil {
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.numbers++
-	c.pending[c.numbers] = p
-	return c.numbers
+	c.lastID++
+	c.pending[c.lastID] = p
+	return c.lastID
 }
 
-func (c *Clock) remove(number uint64) {
+func (c *Clock) remove(id uint64) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.pending, number)
+	delete(c.pending, id)
 }
--- a/internal/clock/machine.go
+++ b/internal/clock/machine.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// System is the machine that this process runs on.
+// System reads the clocks and timers of the operating system.
 type System struct{}
 
-// Steady implements Machine.
-func (System) Steady() time.Duration { return time.Since(processStart) }
+// Monotonic implements TimeSource.
+func (System) Monotonic() time.Duration { return time.Since(processStart) }
 
-// After implements Machine.
+// After implements TimeSource.
 func (System) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// AfterFunc implements Machine.
+// AfterFunc implements TimeSource.
 func (System) AfterFunc(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) }
 
-// processStart has a steady reading.
+// processStart has a monotonic reading.
 var processStart = time.Now()
--- a/internal/clock/machine_linux.go
+++ b/internal/clock/machine_linux.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Counts implements Machine.
-func (System) Counts() error {
+// BootTimeErr implements TimeSource.
+func (System) BootTimeErr() error {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return fmt.Errorf("read boot time: %w", err)
@@ -16,9 +16,9 @@
 	return nil
 }
 
-// Boot implements Machine.
-func (System) Boot() time.Duration {
+// BootTime implements TimeSource.
+func (System) BootTime() time.Duration {
 	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) // what can be read once can be read again
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) // BootTimeErr checks that this clock exists
 	return time.Duration(t.Nano())
 }
--- a/internal/clock/machine_other.go
+++ b/internal/clock/machine_other.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-var errNoBoot = errors.New("this system's boot time cannot be read")
+var errNoBootTime = errors.New("boot-time clock not available on this operating system")
 
-// Counts implements Machine.
-func (System) Counts() error { return errNoBoot }
+// BootTimeErr implements TimeSource.
+func (System) BootTimeErr() error { return errNoBootTime }
 
-// Boot implements Machine.
-func (System) Boot() time.Duration { return 0 }
+// BootTime implements TimeSource.
+func (System) BootTime() time.Duration { return 0 }
--- a/internal/clock/wake.go
+++ b/internal/clock/wake.go
@@ -6,71 +6,75 @@
 )
 
 const (
-	// LookEvery is how soon a standstill is noticed: well before calls under a lease that
-	// lapsed meanwhile count against their sender (300 ms).
+	// StallCheckInterval is the time between two checks for a stall. It is well below the
+	// 300 ms after which a call under a lease that lapsed during the stall counts against
+	// its sender.
 	LookEvery = 100 * time.Millisecond
-	// noticeable is the shortest standstill that counts. A process on a busy machine may not
-	// be scheduled for some tenths of a second.
-	noticeable = 400 * time.Millisecond
+	// minStall is the shortest stall that is reported. On a busy host a process may not be
+	// scheduled for some tenths of a second.
+	minStall = 400 * time.Millisecond
 )
 
-// Resumption is the end of a standstill: the process was stopped, or its machine suspended.
+// Resumption describes a stall that has ended: the process was stopped or the instance
+// suspended, and runs again.
 type Resumption struct {
-	Stood     time.Duration
-	Suspended time.Duration // the part of it that the steady clock did not count
-	Ended     int           // contexts whose deadlines passed meanwhile
+	Stood     time.Duration // length of the stall
+	Suspended time.Duration // the part of it during which the monotonic clock was stopped
+	Ended     int           // number of contexts whose deadlines passed during the stall
 }
 
-// Watcher sees standstills. It belongs to one goroutine, which looks each LookEvery.
-type Watcher struct {
+// StallDetector detects stalls of the process. It must be used by one goroutine only, which
+// calls Check every StallCheckInterval.
+type StallDetector struct {
 	clock     *Clock
-	at        time.Time     // of the last look
-	suspended time.Duration // until then
+	lastCheck time.Time     // when Check was last called
+	suspended time.Duration // result of Clock.suspended at lastCheck
 }
 
-// Watch returns a watcher that looks for standstills from now on, or nil for a nil clock.
-func (c *Clock) Watch() *Watcher {
+// NewStallDetector returns a detector that reports stalls from now on, or nil for a nil clock.
+func (c *Clock) Watch() *StallDetector {
 	if c == nil {
 		return nil
 	}
-	return &Watcher{clock: c, at: c.Now(), suspended: c.suspended()}
+	return &StallDetector{clock: c, lastCheck: c.Now(), suspended: c.suspended()}
 }
 
-// Look reports whether the process has stood still since the last look. If so the contexts whose
-// deadlines have passed are ended by now. A nil watcher sees nothing.
-func (w *Watcher) Look() (Resumption, bool) {
-	if w == nil {
+// Check reports whether the process has stalled since the last call. If so, it has ended the
+// contexts whose deadlines have passed. A nil detector never reports a stall.
+func (d *StallDetector) Look() (Resumption, bool) {
+	if d == nil {
 		return Resumption{}, false
 	}
-	c := w.clock
+	c := d.clock
 	now, suspended := c.Now(), c.suspended()
-	waking := Resumption{Stood: now.Sub(w.at) - LookEvery, Suspended: suspended - w.suspended}
-	w.at, w.suspended = now, suspended
-	if waking.Stood < noticeable {
+	resumption := Resumption{Stood: now.Sub(d.lastCheck) - LookEvery, Suspended: suspended - d.suspended}
+	d.lastCheck, d.suspended = now, suspended
+	if resumption.Stood < minStall {
 		return Resumption{}, false
 	}
-	waking.Ended = c.endPassed()
-	return waking, true
+	resumption.Ended = c.endPassed()
+	return resumption, true
 }
 
-// Run looks for standstills until ctx ends, and tells of each.
-func (c *Clock) Run(ctx context.Context, woken func(Resumption)) error {
-	w := c.Watch()
+// Run checks for stalls until ctx ends, and calls onResume after each.
+func (c *Clock) Run(ctx context.Context, onResume func(Resumption)) error {
+	d := c.Watch()
 	for c.Sleep(ctx, LookEvery) {
-		if waking, ok := w.Look(); ok {
-			woken(waking)
+		if resumption, ok := d.Look(); ok {
+			onResume(resumption)
 		}
 	}
 	return ctx.Err()
 }
 
-// suspended returns for how long the machine was suspended, from some moment on.
+// suspended returns the total time for which the instance was suspended, plus a constant. Only
+// differences of two results are meaningful.
 func (c *Clock) suspended() time.Duration {
-	steady := c.machine.Steady()
-	return c.elapsed() - steady
+	monotonic := c.source.Monotonic()
+	return c.elapsed() - monotonic
 }
 
-// endPassed ends the contexts whose deadlines have passed, and returns how many there are.
+// endPassed ends the contexts whose deadlines have passed, and returns their number.
 func (c *Clock) endPassed() (ended int) {
 	now := c.Now()
 	c.mu.Lock()
--- a/internal/clocktest/machine.go
+++ b/internal/clocktest/machine.go
@@ -1,4 +1,4 @@
-// Package clocktest is a stand-in of a machine that can be suspended, for tests in virtual time.
+// Package clocktest provides a fake time source that can be suspended, for tests in virtual time.
 package clocktest
 
 import (
@@ -8,133 +8,134 @@
 	"github.com/shelfcrank/shelfcrank/internal/clock"
 )
 
-// Machine is a stand-in of a machine's clocks. What runs while it is suspended reads the time
-// at which that began, as a process does that stands still between two instructions.
+// TimeSource is a fake of the operating system's clocks. Code that reads it while it is
+// suspended gets the time at which the suspension began, as if the process were stopped
+// between two instructions.
 //
-// Machine is safe for concurrent use.
+// TimeSource is safe for concurrent use.
 type Machine struct {
 	start time.Time
 
-	mu    sync.Mutex
-	since time.Time     // when the suspension began; zero while the machine runs; guarded by mu
-	lost  time.Duration // that earlier suspensions took; guarded by mu
-	skips time.Duration // that were skipped; guarded by mu
+	mu           sync.Mutex
+	suspendedAt  time.Time     // when the suspension began; zero while running; guarded by mu
+	suspendedFor time.Duration // total length of earlier suspensions; guarded by mu
+	skipped      time.Duration // total of SkipSuspended; guarded by mu
 }
 
-// New returns a machine that runs.
+// New returns a time source that is not suspended.
 func New() *Machine { return &Machine{start: time.Now()} }
 
-// now returns the moment that a process sees, and how long the machine was suspended before.
-func (m *Machine) now() (time.Time, time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if !m.since.IsZero() {
-		return m.since, m.lost
+// now returns the time that the process observes, and the total length of earlier suspensions.
+func (s *Machine) now() (time.Time, time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.suspendedAt.IsZero() {
+		return s.suspendedAt, s.suspendedFor
 	}
-	return time.Now(), m.lost
+	return time.Now(), s.suspendedFor
 }
 
-// Counts implements clock.Machine.
-func (m *Machine) Counts() error { return nil }
+// BootTimeErr implements clock.TimeSource.
+func (s *Machine) BootTimeErr() error { return nil }
 
-// Boot implements clock.Machine.
-func (m *Machine) Boot() time.Duration {
-	now, _ := m.now()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return now.Sub(m.start) + m.skips
+// BootTime implements clock.TimeSource.
+func (s *Machine) BootTime() time.Duration {
+	now, _ := s.now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now.Sub(s.start) + s.skipped
 }
 
-// Steady implements clock.Machine.
-func (m *Machine) Steady() time.Duration {
-	now, lost := m.now()
-	return now.Sub(m.start) - lost
+// Monotonic implements clock.TimeSource.
+func (s *Machine) Monotonic() time.Duration {
+	now, suspendedFor := s.now()
+	return now.Sub(s.start) - suspendedFor
 }
 
-// Suspend suspends the machine until Resume.
-func (m *Machine) Suspend() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.since.IsZero() {
-		m.since = time.Now()
+// Suspend stops the monotonic clock and the timers until Resume.
+func (s *Machine) Suspend() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.suspendedAt.IsZero() {
+		s.suspendedAt = time.Now()
 	}
 }
 
-// Skip suspends the machine for d in no time of the test: only its boot time tells.
-func (m *Machine) Skip(d time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.skips += d
+// SkipSuspended simulates a suspension of length d that takes no time in the test: the boot
+// time advances by d, the monotonic clock does not.
+func (s *Machine) Skip(d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.skipped += d
 }
 
-// Resume ends a suspension.
-func (m *Machine) Resume() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.since.IsZero() {
+// Resume ends a suspension started by Suspend.
+func (s *Machine) Resume() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.suspendedAt.IsZero() {
 		return
 	}
-	m.lost += time.Since(m.since)
-	m.since = time.Time{}
+	s.suspendedFor += time.Since(s.suspendedAt)
+	s.suspendedAt = time.Time{}
 }
 
-// AwaitResume returns once the machine runs.
-func (m *Machine) AwaitResume() {
-	for m.suspended() {
-		time.Sleep(resumePoll)
+// WaitResumed blocks while the time source is suspended.
+func (s *Machine) AwaitResume() {
+	for s.suspended() {
+		time.Sleep(resumePollInterval)
 	}
 }
 
-// resumePoll is how often a suspended machine is looked at.
-const resumePoll = 5 * time.Millisecond
+// resumePollInterval is the time between two checks of whether a suspension has ended.
+const resumePollInterval = 5 * time.Millisecond
 
-func (m *Machine) suspended() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return !m.since.IsZero()
+func (s *Machine) suspended() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.suspendedAt.IsZero()
 }
 
-// After implements clock.Machine.
-func (m *Machine) After(d time.Duration) <-chan time.Time {
+// After implements clock.TimeSource.
+func (s *Machine) After(d time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
-	m.AfterFunc(d, func() { c <- time.Now() })
+	s.AfterFunc(d, func() { c <- time.Now() })
 	return c
 }
 
-// AfterFunc implements clock.Machine: what is due while the machine is suspended, or after,
-// comes as much later as the suspension takes.
-func (m *Machine) AfterFunc(d time.Duration, f func()) clock.Timer {
-	t := &timer{machine: m, due: m.Steady() + d, call: f}
+// AfterFunc implements clock.TimeSource. A suspension delays pending calls by its length.
+func (s *Machine) AfterFunc(d time.Duration, f func()) clock.Timer {
+	t := &timer{source: s, due: s.Monotonic() + d, call: f}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wait = time.AfterFunc(d, t.look)
+	t.goTimer = time.AfterFunc(d, t.fireOrWait)
 	return t
 }
 
-// timer is a call on the steady clock of a machine.
+// timer is a pending call on the monotonic clock of a time source.
 type timer struct {
-	machine *Machine
-	due     time.Duration
-	call    func()
+	source *Machine
+	due    time.Duration
+	call   func()
 
-	mu   sync.Mutex
-	wait *time.Timer // guarded by mu
-	over bool        // called or stopped; guarded by mu
+	mu      sync.Mutex
+	goTimer *time.Timer // guarded by mu
+	done    bool        // called or stopped; guarded by mu
 }
 
-// look calls if it is time, or waits on.
-func (t *timer) look() {
-	t.machine.AwaitResume()
+// fireOrWait makes the call if it is due, or else starts the timer again for the time left.
+func (t *timer) fireOrWait() {
+	t.source.AwaitResume()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.over {
+	if t.done {
 		return
 	}
-	if left := t.due - t.machine.Steady(); left > 0 {
-		t.wait = time.AfterFunc(left, t.look)
+	if left := t.due - t.source.Monotonic(); left > 0 {
+		t.goTimer = time.AfterFunc(left, t.fireOrWait)
 		return
 	}
-	t.over = true
+	t.done = true
 	go t.call()
 }
 
@@ -142,8 +143,8 @@
 func (t *timer) Stop() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	stopped := !t.over
-	t.over = true
-	t.wait.Stop()
+	stopped := !t.done
+	t.done = true
+	t.goTimer.Stop()
 	return stopped
 }
