--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -7,25 +7,26 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Revision is a place in the history of the store: an era, which rises by one each time the
-// store is restored from an older copy, and a number, which rises with each change and goes
-// back with a restore. Revisions are ordered by era, then by number, so that whatever was read
-// in a later era is newer. The zero value comes before all others.
+// Revision is a position in the history of the store. It consists of an era, which increases
+// by one each time the store is restored from a backup, and a number, which increases with each
+// change and falls back with a restore. Revisions are ordered by era, then by number, so that
+// anything read in a later era is newer. The zero value precedes all others.
 //
-// As an integer it is exact in JSON numbers and grows from one holder of a key to the next,
-// across eras as well, so that it serves as a fencing token.
+// As an integer a revision fits a JSON number without loss of precision. It increases from one
+// holder of a key to the next, across eras as well, and can serve as a fencing token.
 type Revision int64
 
 const (
-	numberBits = 40 // a century at hundreds of writes a second
+	numberBits = 40 // enough for a century at hundreds of writes per second
 	eraBits    = 53 - numberBits
 	numberMask = 1<<numberBits - 1
 )
 
-// ErrRevision says that an era or a number is out of range.
-var ErrRevision = errors.New("no revision of the store")
+// ErrRevisionRange reports that the era or the number of a revision is out of range.
+var ErrRevision = errors.New("store revision out of range")
 
-// NewRevision returns the revision of a number in an era.
+// NewRevision returns the revision with the given era and number. It returns ErrRevisionRange
+// if one of them is out of range.
 func NewRevision(era, number int64) (Revision, error) {
 	if era < 0 || era >= 1<<eraBits || number < 0 || number > numberMask {
 		return 0, fmt.Errorf("%w: era %d, number %d", ErrRevision, era, number)
@@ -33,10 +34,10 @@
 	return Revision(era<<numberBits | number), nil
 }
 
-// Era returns how often the store had been restored.
+// Era returns the number of times that the store had been restored.
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
-// Number returns the store's own number of the revision.
+// Number returns the revision number within the era, as the store itself reports it.
 func (r Revision) Number() int64 { return int64(r) & numberMask }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the platform's metadata store as the product sees it: items
-// with revisions, watches, transactions and leases. Implementations are safe
-// for concurrent use.
+// Package store defines the interface to the platform's metadata store, a
+// key-value store with revisions, watches, transactions and leases.
+// Implementations are safe for concurrent use.
 package store
 
 import (
@@ -19,10 +19,11 @@
 // Event is a change of a key.
 type Event struct {
 	Item
-	Gone bool
+	Gone bool // the key was deleted; Value is empty
 }
 
-// Expect is a condition of a transaction: the revision of a key, 0 for absent.
+// Expect is a condition of a transaction: the key must have the given revision, or be absent
+// if the revision is 0.
 type Expect struct {
 	Key      string
 	Revision Revision
@@ -32,18 +33,19 @@
 type Put struct {
 	Key   string
 	Value []byte
-	Lease int64
+	Lease int64 // lease that the key is bound to; 0 for none
 }
 
-// Txn is done whole or not at all.
+// Txn is a transaction. It is applied atomically if all its conditions hold, and otherwise not
+// at all.
 type Txn struct {
 	Expect []Expect
 	Put    []Put
-	Drop   []string
+	Drop   []string // keys to delete
 }
 
-// ExpectsBefore reports whether a condition is of an earlier era. The store would compare its
-// number alone, with one that it may have given out again.
+// ExpectsEarlierEra reports whether a condition has a revision of an earlier era. The store
+// compares the numbers alone, and may have reused this one since it was restored.
 func (t Txn) ExpectsBefore(era int64) bool {
 	for _, e := range t.Expect {
 		if e.Revision != 0 && e.Revision.Era() < era {
@@ -53,47 +55,55 @@
 	return false
 }
 
-// Errors of calls. Any other error leaves open whether a write was or will be
-// done.
+// Errors of calls. After any other error, a write may have been applied, or may
+// still be applied later.
 var (
 	ErrNotFound  = errors.New("no such key or lease")
 	ErrConflict  = errors.New("a condition of the transaction does not hold")
-	ErrCompacted = errors.New("the history asked for is gone")
+	ErrCompacted = errors.New("the requested revision has been compacted")
 	ErrRefused   = errors.New("the store refused the call; nothing was done")
 )
 
-// Conflict is the error of a transaction whose condition does not hold.
-type Conflict struct{ Items []Item }
+// Conflict is the error of a transaction with a condition that does not hold. It matches
+// ErrConflict.
+type Conflict struct {
+	Items []Item // current items of the keys of the conditions, in their order; may be empty
+}
 
 // Error implements error.
 func (*Conflict) Error() string { return ErrConflict.Error() }
 
-// Is implements the interface that errors.Is looks for.
+// Is reports whether target is ErrConflict, for errors.Is.
 func (*Conflict) Is(target error) bool { return target == ErrConflict }
 
 // Reader reads the store.
 type Reader interface {
-	// Era returns the latest era that an answer named, of reads and writes alike.
+	// Era returns the latest era seen in an answer to a read or a write.
 	Era() int64
-	// Get returns an item as it is now, and the store's revision.
+	// Get returns the current item of a key, and the store's revision.
 	Get(ctx context.Context, key string) (Item, Revision, error)
-	// Range returns all items under a prefix and the revision to watch from.
+	// Range returns all items with a key prefix, and the revision to watch from.
 	Range(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Peek returns the items under a prefix as they were some seconds ago at the
-	// worst. It costs a tenth of Range.
+	// Peek returns the items with a key prefix from a stale read, which may be
+	// some seconds old. It costs a tenth of Range.
 	Peek(ctx context.Context, prefix string) ([]Item, error)
-	// Watch returns the changes under a prefix after a revision, as soon as
-	// there are any or when it has waited long enough, and where to go on. It returns
-	// ErrCompacted if the store was restored since that revision.
+	// Watch is a long poll for changes of keys with a prefix after a revision.
+	// It returns the changes as soon as there are any, or none after the store's
+	// time limit, and the revision to continue from. It returns ErrCompacted if
+	// the history since that revision is no longer available or the store was
+	// restored since then.
 	Watch(ctx context.Context, prefix string, after Revision) ([]Event, Revision, error)
 }
 
 // Writer writes the store.
 type Writer interface {
-	// Do returns the revision of the transaction. Conditions with revisions of an earlier
-	// era than the latest that is known do not hold.
+	// Do applies a transaction and returns its revision. A condition with a revision of an
+	// era before the latest known one does not hold.
 	Do(ctx context.Context, t Txn) (Revision, error)
+	// Grant creates a lease. Keys bound to it are deleted when it expires or ends.
 	Grant(ctx context.Context, ttlMs int64) (lease int64, err error)
+	// Keep renews a lease for its full time to live.
 	Keep(ctx context.Context, lease int64) error
+	// End revokes a lease.
 	End(ctx context.Context, lease int64) error
 }
