--- a/internal/storetest/storetest.go
+++ b/internal/storetest/storetest.go
@@ -1,6 +1,6 @@
-// Package storetest is a stand-in of the platform's metadata store: items with
-// revisions, transactions, watches and leases, in memory, with the faults that
-// the real one has. It is meant for tests and the embedded demo.
+// Package storetest provides an in-memory fake of the platform's metadata store
+// with revisions, transactions, watches and leases. It can inject the faults
+// that the real store has. It is meant for tests and the embedded demo.
 //
 // Store is safe for concurrent use.
 package storetest
@@ -16,18 +16,18 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Faults are what a caller meets. The zero value is none.
+// Faults are the faults injected into the calls of a caller. The zero value injects none.
 type Faults struct {
-	Down     bool          // calls hang until they are given up on
-	Busy     bool          // calls are refused
-	LoseNext int           // so many writes are done and not answered
-	Late     time.Duration // a write that is not answered is done so much later
-	Silent   bool          // watches hear nothing
-	Slow     time.Duration // added to each call
-	Frozen   bool          // the caller stands still: its calls leave, and their answers reach it, once it goes on
+	Down     bool          // calls block until their context ends
+	Busy     bool          // calls fail with store.ErrRefused
+	LoseNext int           // number of next transactions that are applied but not answered
+	Late     time.Duration // delay before a transaction without answer is applied
+	Silent   bool          // watches report no changes
+	Slow     time.Duration // latency added to each call
+	Frozen   bool          // the caller's process is stopped: its calls are sent, and answers delivered, once this is false
 }
 
-// ErrLost says that an answer was lost.
+// ErrLost reports that the answer of a call was lost.
 var ErrLost = errors.New("no answer")
 
 type lease struct {
@@ -35,34 +35,35 @@
 	until time.Time
 }
 
-// Store is the stand-in.
+// Store is the fake store.
 type Store struct {
-	ttl  time.Duration // the shortest lease
-	wait time.Duration // how long a watch is held
-
-	mu      sync.Mutex
-	era     int64                 // guarded by mu
-	rev     int64                 // guarded by mu
-	items   map[string]store.Item // guarded by mu
-	made    map[string]time.Time  // when each item was made; guarded by mu
-	log     []store.Event         // guarded by mu
-	oldest  int64                 // revision that the log begins after; guarded by mu
-	leases  map[int64]lease       // guarded by mu
-	lastID  int64                 // guarded by mu
-	changed chan struct{}         // closed and made anew with each change; guarded by mu
-	faults  map[string]Faults     // by caller; guarded by mu
-	calls   int                   // guarded by mu
+	minTTL       time.Duration // shortest time to live of a lease
+	watchTimeout time.Duration // after which a watch without changes returns
+
+	mu        sync.Mutex
+	era       int64                 // guarded by mu
+	rev       int64                 // guarded by mu
+	items     map[string]store.Item // guarded by mu
+	createdAt map[string]time.Time  // when each item was created; guarded by mu
+	log       []store.Event         // guarded by mu
+	oldest    int64                 // the log holds the changes after this number; guarded by mu
+	leases    map[int64]lease       // guarded by mu
+	lastID    int64                 // guarded by mu
+	changed   chan struct{}         // closed and replaced at each change; guarded by mu
+	faults    map[string]Faults     // by caller; guarded by mu
+	calls     int                   // guarded by mu
 }
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		ttl: time.Second, wait: 2 * time.Second, items: make(map[string]store.Item), made: make(map[string]time.Time), leases: make(map[int64]lease),
+		minTTL: time.Second, watchTimeout: 2 * time.Second, items: make(map[string]store.Item), createdAt: make(map[string]time.Time), leases: make(map[int64]lease),
 		changed: make(chan struct{}), faults: make(map[string]Faults),
 	}
 }
 
-// SetFaults sets what a caller meets; "" is every caller without faults of its own.
+// SetFaults sets the faults of a caller. Down, Refuse and Slow of the caller "" apply to each
+// caller without faults of its own.
 func (s *Store) SetFaults(caller string, f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	s.signal()
 }
 
-// ClearFaults makes a caller meet what every caller does.
+// ClearFaults removes the faults of a caller. Those of the caller "" then apply to it.
 func (s *Store) ClearFaults(caller string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +79,8 @@
 	s.signal()
 }
 
-// Compact forgets the history: watches have to list anew.
+// Compact discards the history. A watch from an earlier revision then fails with
+// store.ErrCompacted, and its caller has to list the items again.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,21 +88,21 @@
 	s.signal()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes a key as the operators and the servers do. A nil value drops it.
+// Put writes a key without faults, as operators and endpoints do. A nil value deletes the key.
 func (s *Store) Put(key string, value []byte) store.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(time.Now())
 	s.rev++
 	if value == nil {
-		s.drop(key)
+		s.deleteKey(key)
 	} else {
 		s.put(store.Put{Key: key, Value: value})
 	}
@@ -108,18 +110,18 @@
 	return s.revision()
 }
 
-// revision returns the store's revision.
+// revision returns the store's current revision.
 func (s *Store) revision() store.Revision { return revision(s.era, s.rev) }
 
 func revision(era, number int64) store.Revision {
 	r, err := store.NewRevision(era, number)
 	if err != nil {
-		panic(err) // no test writes so much
+		panic(err) // tests stay far below the limits of a revision
 	}
 	return r
 }
 
-// Client returns the store as one caller sees it.
+// Client returns a client of the store, to which the faults of the named caller apply.
 func (s *Store) Client(caller string) *Client { return &Client{store: s, caller: caller} }
 
 func (s *Store) signal() {
@@ -129,45 +131,45 @@
 
 func (s *Store) put(p store.Put) {
 	item := store.Item{Key: p.Key, Value: p.Value, Revision: s.revision(), Lease: p.Lease}
-	if _, known := s.items[p.Key]; !known {
-		s.made[p.Key] = time.Now()
+	if _, exists := s.items[p.Key]; !exists {
+		s.createdAt[p.Key] = time.Now()
 	}
 	s.items[p.Key] = item
 	s.log = append(s.log, store.Event{Item: item})
 }
 
-func (s *Store) drop(key string) {
+func (s *Store) deleteKey(key string) {
 	delete(s.items, key)
-	delete(s.made, key)
+	delete(s.createdAt, key)
 	s.log = append(s.log, store.Event{Item: store.Item{Key: key, Revision: s.revision()}, Gone: true})
 }
 
-// expire drops the keys of leases that ran out.
+// expire deletes the keys of expired leases.
 func (s *Store) expire(now time.Time) {
 	for id, l := range s.leases {
 		if now.Before(l.until) {
 			continue
 		}
 		delete(s.leases, id)
-		s.dropLease(id)
+		s.deleteLease(id)
 	}
 }
 
-func (s *Store) dropLease(id int64) {
+func (s *Store) deleteLease(id int64) {
 	for key, item := range s.items {
 		if item.Lease == id {
 			s.rev++
-			s.drop(key)
+			s.deleteKey(key)
 		}
 	}
 	s.signal()
 }
 
-// Client is the store as one caller sees it.
+// Client accesses the store as one caller, with the faults of that caller.
 type Client struct {
 	store  *Store
 	caller string
-	era    int64 // the latest that an answer named; guarded by store.mu
+	era    int64 // of the latest answer; guarded by store.mu
 }
 
 // Era implements store.Reader.
@@ -177,10 +179,10 @@
 	return c.era
 }
 
-// enter begins a call: it meets the caller's faults.
-func (c *Client) enter(ctx context.Context) error {
+// begin starts a call and applies the caller's faults to it.
+func (c *Client) begin(ctx context.Context) error {
 	s := c.store
-	c.awaitThaw()
+	c.waitUnfrozen()
 	s.mu.Lock()
 	f, ok := s.faults[c.caller]
 	if !ok {
@@ -204,13 +206,13 @@
 	return nil
 }
 
-// thawPoll is how often a caller that stands still is looked at.
-const thawPoll = 5 * time.Millisecond
+// frozenPollInterval is the time between two checks of whether a caller is still frozen.
+const frozenPollInterval = 5 * time.Millisecond
 
-// awaitThaw returns once the caller does not stand still.
-func (c *Client) awaitThaw() {
+// waitUnfrozen blocks while the caller is frozen.
+func (c *Client) waitUnfrozen() {
 	for c.frozen() {
-		time.Sleep(thawPoll)
+		time.Sleep(frozenPollInterval)
 	}
 }
 
@@ -222,7 +224,7 @@
 
 // Get implements store.Reader.
 func (c *Client) Get(ctx context.Context, key string) (store.Item, store.Revision, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return store.Item{}, 0, err
 	}
 	s := c.store
@@ -239,7 +241,7 @@
 
 // Range implements store.Reader.
 func (c *Client) Range(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return nil, 0, err
 	}
 	s := c.store
@@ -257,30 +259,30 @@
 	return out, s.revision(), nil
 }
 
-// peekAge is how old the state is that Peek tells.
-const peekAge = 2 * time.Second
+// peekDelay is the time for which Peek omits a new key.
+const peekDelay = 2 * time.Second
 
-// Peek implements store.Reader: it does not tell keys that were made just now.
+// Peek implements store.Reader. To simulate a stale read it omits recently created keys.
 func (c *Client) Peek(ctx context.Context, prefix string) ([]store.Item, error) {
 	items, _, err := c.Range(ctx, prefix)
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	young := func(i store.Item) bool { return time.Since(c.store.made[i.Key]) < peekAge }
-	return slices.DeleteFunc(items, young), err
+	recent := func(i store.Item) bool { return time.Since(c.store.createdAt[i.Key]) < peekDelay }
+	return slices.DeleteFunc(items, recent), err
 }
 
 // Watch implements store.Reader.
 func (c *Client) Watch(ctx context.Context, prefix string, after store.Revision) ([]store.Event, store.Revision, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return nil, 0, err
 	}
-	end := time.NewTimer(c.store.wait)
+	end := time.NewTimer(c.store.watchTimeout)
 	defer end.Stop()
-	look := time.NewTicker(50 * time.Millisecond) // leases run out without a call
-	defer look.Stop()
+	ticker := time.NewTicker(50 * time.Millisecond) // leases expire without a call
+	defer ticker.Stop()
 	for {
-		c.awaitThaw()
-		events, at, changed, err := c.since(prefix, after)
+		c.waitUnfrozen()
+		events, at, changed, err := c.eventsAfter(prefix, after)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -299,13 +301,13 @@
 				return nil, 0, store.ErrCompacted
 			}
 			return nil, at, nil
-		case <-look.C:
+		case <-ticker.C:
 		case <-changed:
 		}
 	}
 }
 
-func (c *Client) since(prefix string, after store.Revision) ([]store.Event, store.Revision, <-chan struct{}, error) {
+func (c *Client) eventsAfter(prefix string, after store.Revision) ([]store.Event, store.Revision, <-chan struct{}, error) {
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -328,7 +330,7 @@
 
 // Do implements store.Writer.
 func (c *Client) Do(ctx context.Context, t store.Txn) (store.Revision, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return 0, err
 	}
 	s := c.store
@@ -383,7 +385,7 @@
 	}
 	for _, key := range t.Drop {
 		if _, ok := s.items[key]; ok {
-			s.drop(key)
+			s.deleteKey(key)
 		}
 	}
 	s.signal()
@@ -392,7 +394,7 @@
 
 // Grant implements store.Writer.
 func (c *Client) Grant(ctx context.Context, ttlMs int64) (int64, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return 0, err
 	}
 	s := c.store
@@ -400,14 +402,14 @@
 	defer s.mu.Unlock()
 	c.era = s.era
 	s.lastID++
-	ttl := max(s.ttl, time.Duration(ttlMs)*time.Millisecond)
+	ttl := max(s.minTTL, time.Duration(ttlMs)*time.Millisecond)
 	s.leases[s.lastID] = lease{ttl, time.Now().Add(ttl)}
 	return s.lastID, nil
 }
 
 // Keep implements store.Writer.
 func (c *Client) Keep(ctx context.Context, id int64) error {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return err
 	}
 	s := c.store
@@ -426,7 +428,7 @@
 
 // End implements store.Writer.
 func (c *Client) End(ctx context.Context, id int64) error {
-	if err := c.enter(ctx); err != nil {
+	if err := c.begin(ctx); err != nil {
 		return err
 	}
 	s := c.store
@@ -437,6 +439,6 @@
 		return store.ErrNotFound
 	}
 	delete(s.leases, id)
-	s.dropLease(id)
+	s.deleteLease(id)
 	return nil
 }
