--- a/internal/virtual/race.go
+++ b/internal/virtual/race.go
@@ -2,5 +2,5 @@
 
 package virtual
 
-// Race says that the program was built with the race detector.
+// Race reports whether the program was built with the race detector.
 const Race = true
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -1,4 +1,4 @@
-// Package virtual runs tests in virtual time.
+// Package virtual runs tests in virtual time, in a bubble of testing/synctest.
 package virtual
 
 import (
@@ -7,16 +7,17 @@
 	"testing/synctest"
 )
 
-// Test runs f in a bubble of testing/synctest. Under the race detector one
-// goroutine runs at a time: the timers of a bubble share one context of the
-// detector, and up to Go 1.26 at least, two goroutines that read channels of due
-// timers at the same moment both run in it without a lock. It is corrupted then,
-// and the process dies of SIGSEGV or of "CHECK failed: tsan_rtl.cpp" with no race
-// reported. The detector finds unordered accesses all the same, since it compares
-// the order of events and not the moments at which they happen.
+// Test runs f in a bubble of testing/synctest. Under the race detector it sets
+// GOMAXPROCS to 1, so that one goroutine runs at a time. The timers of a bubble
+// share one context of the race detector, and up to Go 1.26 at least, two
+// goroutines that receive from channels of due timers at the same time both use
+// this context without a lock. This corrupts it, and the process crashes with
+// SIGSEGV or "CHECK failed: tsan_rtl.cpp" without reporting a race. With one
+// processor the detector still finds data races, since it checks the
+// happens-before order and not whether accesses coincide.
 //
-// Tests that call it must not run in parallel with others: GOMAXPROCS is changed
-// for the whole process.
+// A test that calls Test must not run in parallel with others, because GOMAXPROCS
+// applies to the whole process.
 func Test(t *testing.T, f func(*testing.T)) {
 	t.Helper()
 	if Race {
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -13,8 +13,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// TestTimersDueTogether reads many due timers at the same moment. It kills the
-// process when a race build plays it in a plain bubble on several processors.
+// TestTimersDueTogether receives from many due timers at the same time. In a race
+// build this crashes the process if the bubble runs on several processors.
 func TestTimersDueTogether(t *testing.T) {
 	const (
 		goroutines = 32
@@ -46,7 +46,7 @@
 	})
 }
 
-// TestNoOtherBubbles finds tests that start a bubble of their own.
+// TestNoDirectSynctest fails if a test calls synctest.Test directly instead of virtual.Test.
 func TestNoOtherBubbles(t *testing.T) {
 	is := is.New(t)
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
