--- a/internal/walltime/walltime.go
+++ b/internal/walltime/walltime.go
@@ -1,8 +1,10 @@
-// Package walltime keeps a time of day that does not jump.
+// Package walltime provides a time of day that is independent of later changes
+// of the system's time of day.
 //
-// A Clock takes the time of day once and follows the steady clock from there.
-// It is put right by the median of what the other nodes take the time to be.
-// Clock is safe for concurrent use.
+// A Clock takes the time of day once and then advances with the monotonic
+// readings of the times given to it. If it is far from the median of the times
+// of day that all instances report, it is corrected to the median. Clock is
+// safe for concurrent use.
 package walltime
 
 import (
@@ -12,65 +14,68 @@
 )
 
 const (
-	// believed is how long another node's word counts.
-	wordTTL = 10 * time.Second
-	// apart is how far the median may be from this node's own time.
-	apart = 400 * time.Millisecond
+	// sampleTTL is the time for which a sample of another instance is used.
+	sampleTTL = 10 * time.Second
+	// correctionThreshold is the largest median offset that is left uncorrected.
+	correctionThreshold = 400 * time.Millisecond
 )
 
-type word struct {
-	offset time.Duration // of the other node's time from this node's own
-	at     time.Time
+// sample is the time of day of another instance.
+type sample struct {
+	offset     time.Duration // from the uncorrected time of this clock
+	receivedAt time.Time
 }
 
-// Clock is a time of day.
+// Clock is a time of day that advances with the monotonic clock and is corrected by samples of
+// other instances.
 type Clock struct {
-	start time.Time // with its steady reading
+	start time.Time // with a monotonic reading
 
 	mu         sync.Mutex
-	words      map[string]word // by node; guarded by mu
-	correction time.Duration   // guarded by mu
+	samples    map[string]sample // by instance; guarded by mu
+	correction time.Duration     // guarded by mu
 }
 
-// New returns a clock that starts at a time read just now.
+// New returns a clock that starts at now, which must have a monotonic reading.
 func New(now time.Time) *Clock {
-	return &Clock{start: now, words: make(map[string]word)}
+	return &Clock{start: now, samples: make(map[string]sample)}
 }
 
-// raw is the time of day without correction.
-func (c *Clock) raw(now time.Time) time.Time {
+// uncorrected returns the time of day without the correction by other instances.
+func (c *Clock) uncorrected(now time.Time) time.Time {
 	return c.start.Round(0).Add(now.Sub(c.start))
 }
 
-// At returns the time of day at a moment of the steady clock.
+// At returns the corrected time of day at now, a time with a monotonic reading.
 func (c *Clock) At(now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.raw(now).Add(c.correction)
+	return c.uncorrected(now).Add(c.correction)
 }
 
-// Own returns the time of day without what others say, which is what others
-// are told: else nodes would follow one another.
-func (c *Clock) Own(now time.Time) time.Time { return c.raw(now) }
+// Uncorrected returns the time of day without the correction by other instances. It is the time
+// to send to other instances: with corrected times, instances would follow one another.
+func (c *Clock) Own(now time.Time) time.Time { return c.uncorrected(now) }
 
-// Apply takes what another node takes the time of day to be, and returns the
-// correction that holds.
-func (c *Clock) Apply(node string, wall, now time.Time) time.Duration {
+// AddSample adds the uncorrected time of day of another instance, received at now, and returns
+// the resulting correction: the median offset of all instances, this one included, or zero if
+// the median is within 400 ms.
+func (c *Clock) Apply(instance string, wall, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.words[node] = word{wall.Sub(c.raw(now)), now}
+	c.samples[instance] = sample{wall.Sub(c.uncorrected(now)), now}
 	offsets := []time.Duration{0}
-	for name, w := range c.words {
-		if now.Sub(w.at) > wordTTL {
-			delete(c.words, name)
+	for name, s := range c.samples {
+		if now.Sub(s.receivedAt) > sampleTTL {
+			delete(c.samples, name)
 			continue
 		}
-		offsets = append(offsets, w.offset)
+		offsets = append(offsets, s.offset)
 	}
 	slices.Sort(offsets)
 	median := offsets[len(offsets)/2]
 	c.correction = 0
-	if median > apart || median < -apart {
+	if median > correctionThreshold || median < -correctionThreshold {
 		c.correction = median
 	}
 	return c.correction
--- a/internal/walltime/walltime_test.go
+++ b/internal/walltime/walltime_test.go
@@ -15,7 +15,7 @@
 		c.Apply(name, now.Add(2*time.Second), now)
 	}
 	is.Equal(c.At(now).Sub(now.Round(0)).Round(time.Millisecond), 2*time.Second)
-	is.Equal(c.Own(now).Sub(now.Round(0)).Round(time.Millisecond), time.Duration(0)) // others are told its own
+	is.Equal(c.Own(now).Sub(now.Round(0)).Round(time.Millisecond), time.Duration(0)) // sent to others without the correction
 }
 
 func TestOneThatIsOffIsNot(t *testing.T) {
@@ -25,6 +25,6 @@
 	c.Apply("a", now.Add(time.Hour), now)
 	c.Apply("b", now.Add(100*time.Millisecond), now)
 	is.Equal(c.Apply("c", now.Add(-100*time.Millisecond), now), time.Duration(0))
-	later := now.Add(20 * time.Second) // old words count no more
+	later := now.Add(20 * time.Second) // old samples have expired
 	is.Equal(c.Apply("d", later.Add(time.Minute), later), time.Minute)
 }
