--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,9 +1,8 @@
-// Package logsink writes log lines without ever holding up who logs.
+// Package logsink writes log lines without blocking the code that logs.
 //
-// Lines wait in a queue of bounded length for a goroutine that writes them. A
-// line that finds the queue full is dropped and counted; the count is written
-// as a line of its own when there is room again. Sink is safe for concurrent
-// use.
+// Lines are put into a bounded queue and written by a goroutine. If the queue
+// is full, the line is dropped and counted. The count is written as a line of
+// its own before the next line. Sink is safe for concurrent use.
 package logsink
 
 import (
@@ -15,28 +14,28 @@
 )
 
 const (
-	queue     = 1024
-	closeWait = 200 * time.Millisecond
+	queueLength  = 1024
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Sink is an io.Writer of whole lines.
+// Sink is an io.Writer that queues log lines. Each Write must be one whole line.
 type Sink struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	done    chan struct{}
+	stopped chan struct{}
 	once    sync.Once
 	stop    chan struct{}
 }
 
-// New returns a sink that writes to out.
+// New returns a sink that writes to out until Close.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, queue), done: make(chan struct{}), stop: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, queueLength), stopped: make(chan struct{}), stop: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (s *Sink) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -47,15 +46,15 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were dropped and not told of yet.
+// Dropped returns the number of dropped lines that have not been reported in the log yet.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
-	defer close(s.done)
+	defer close(s.stopped)
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeLine(line)
 		case <-s.stop:
 			s.flush()
 			return
@@ -63,7 +62,7 @@
 	}
 }
 
-func (s *Sink) put(line []byte) {
+func (s *Sink) writeLine(line []byte) {
 	if n := s.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(s.out, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 	}
@@ -74,18 +73,19 @@
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// Close writes what waits, for a short time at most.
+// Close writes the queued lines and stops the sink. It waits for 200 ms at most, so that an
+// output that blocks does not delay the end of the process.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.stop) })
 	select {
-	case <-s.done:
-	case <-time.After(closeWait):
+	case <-s.stopped:
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -11,13 +11,13 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// stuck is a reader that has stopped reading until it is let go.
-type stuck struct {
+// blockedWriter is an output that blocks until resume is closed.
+type blockedWriter struct {
 	resume chan struct{}
 	got    bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.resume
 	return s.got.Write(p)
 }
@@ -25,16 +25,16 @@
 func TestAReaderThatStopsReadingHoldsNobodyUp(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &stuck{resume: make(chan struct{})}
+		out := &blockedWriter{resume: make(chan struct{})}
 		s := New(out)
-		for range 3 * queue {
+		for range 3 * queueLength {
 			_, err := s.Write([]byte("line\n"))
 			is.NoErr(err)
 		}
 		close(out.resume)
 		synctest.Wait()
 		s.Close()
-		written, told := 0, 0
+		written, dropped := 0, 0
 		for line := range strings.Lines(out.got.String()) {
 			if line == "line\n" {
 				written++
@@ -43,9 +43,9 @@
 			var n int
 			_, err := fmt.Sscanf(line, `{"level":"warn","msg":"log lines dropped","lines":%d}`, &n)
 			is.NoErr(err)
-			told += n
+			dropped += n
 		}
-		is.True(written >= queue)
-		is.Equal(written+told+int(s.Dropped()), 3*queue) // what was dropped is counted
+		is.True(written >= queueLength)
+		is.Equal(written+dropped+int(s.Dropped()), 3*queueLength) // each line is written or counted as dropped
 	})
 }
