--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics has the instruments of an entry instance, by OpenTelemetry,
-// exported in the Prometheus text format. It is safe for concurrent use.
+// Package metrics defines the OpenTelemetry instruments of an instance and
+// exports them in the Prometheus text format. It is safe for concurrent use.
 package metrics
 
 import (
@@ -15,7 +15,7 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Metrics holds the instruments.
+// Metrics holds the instruments of one instance.
 type Metrics struct {
 	handler    http.Handler
 	requests   metric.Int64Counter
@@ -26,16 +26,16 @@
 	forwarded  metric.Float64Histogram
 }
 
-// Gauges are read when the metrics are exported.
+// Gauges are callbacks that supply current values when the metrics are exported.
 type Gauges struct {
-	Records func() int64
-	Claims  func() int64
-	Table   func() int64
-	Members func() int64
-	Traffic func() []Traffic // may be nil
+	Records func() int64     // number of request records
+	Claims  func() int64     // number of claims, which prevent a second run of calls that must not be repeated
+	Table   func() int64     // revision or version of the policy in force
+	Members func() int64     // number of other known instances
+	Traffic func() []Traffic // calls to other instances; may be nil
 }
 
-// Traffic is what one kind of calls to other instances took.
+// Traffic is the total traffic of one kind of calls to other instances.
 type Traffic struct {
 	Kind     string
 	Crosses  bool // to another hall
@@ -46,7 +46,7 @@
 
 var bucketsMs = []float64{1, 2, 4, 8, 16, 32, 64, 125, 250, 500, 1000, 2000, 4000, 8000, 16000, 32000}
 
-// New returns the instruments of one entry instance.
+// New returns the instruments of one instance, with gauges read from g.
 func New(g Gauges) (*Metrics, error) {
 	reg := prometheus.NewRegistry()
 	exp, err := otelprom.New(otelprom.WithRegisterer(reg))
@@ -68,16 +68,16 @@
 		}
 	}
 	if g.Traffic != nil {
-		if err := trafficCounters(meter, g.Traffic); err != nil {
+		if err := registerTrafficCounters(meter, g.Traffic); err != nil {
 			return nil, err
 		}
 	}
-	return m, gauges(meter, g)
+	return m, registerGauges(meter, g)
 }
 
-// trafficCounters exports what instances exchange, by kind of call and whether it
-// goes to another hall.
-func trafficCounters(meter metric.Meter, read func() []Traffic) error {
+// registerTrafficCounters registers counters of the calls to other instances and their bytes,
+// by kind of call and whether they go to another hall.
+func registerTrafficCounters(meter metric.Meter, read func() []Traffic) error {
 	for name, of := range map[string]func(Traffic) int64{
 		"shelfcrank_peer_calls":          func(t Traffic) int64 { return t.Calls },
 		"shelfcrank_peer_sent_bytes":     func(t Traffic) int64 { return t.Sent },
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func gauges(meter metric.Meter, g Gauges) error {
+func registerGauges(meter metric.Meter, g Gauges) error {
 	for name, read := range map[string]func() int64{
 		"shelfcrank_records":        g.Records,
 		"shelfcrank_claims":         g.Claims,
@@ -114,22 +114,22 @@
 	return nil
 }
 
-// Handler serves the metrics.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Request counts a request that ended.
+// Request counts a request that has ended.
 func (m *Metrics) Request(class, outcome string) {
 	m.requests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("class", class), attribute.String("outcome", outcome)))
 }
 
-// FirstToken notes the time to the first token of a model call.
+// FirstToken records the time to the first token of a model call.
 func (m *Metrics) FirstToken(class string, took time.Duration) {
-	m.firstToken.Record(context.Background(), inMs(took), metric.WithAttributes(attribute.String("class", class)))
+	m.firstToken.Record(context.Background(), milliseconds(took), metric.WithAttributes(attribute.String("class", class)))
 }
 
-// Service notes the time of a service call.
+// Service records the duration of a service call.
 func (m *Metrics) Service(class string, took time.Duration) {
-	m.service.Record(context.Background(), inMs(took), metric.WithAttributes(attribute.String("class", class)))
+	m.service.Record(context.Background(), milliseconds(took), metric.WithAttributes(attribute.String("class", class)))
 }
 
 // Event counts a numbered event.
@@ -137,14 +137,14 @@
 	m.events.Add(context.Background(), 1, metric.WithAttributes(attribute.Int("event", code)))
 }
 
-// Forwarded notes the end of a forwarded request; status is 0 when none was sent.
+// Forwarded records the duration of a forwarded request. status is 0 if none was sent.
 func (m *Metrics) Forwarded(route string, status int, took time.Duration) {
-	m.forwarded.Record(context.Background(), inMs(took), metric.WithAttributes(attribute.String("route", route), attribute.Int("status", status)))
+	m.forwarded.Record(context.Background(), milliseconds(took), metric.WithAttributes(attribute.String("route", route), attribute.Int("status", status)))
 }
 
-// Resume counts a stream that went on at another endpoint.
+// Resume counts a stream that was resumed at another endpoint.
 func (m *Metrics) Resume(cause string) {
 	m.resumes.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
 }
 
-func inMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
