--- a/internal/netx/mem.go
+++ b/internal/netx/mem.go
@@ -14,56 +14,58 @@
 	"time"
 )
 
-// Mem is an in-memory network of sites. Links between sites have a delay, can
-// of testing/synctest.
+// Mem is an in-memory network that connects named sites. Links between sites have
+// a delay and can be cut; sites can be killed and frozen. Mem blocks on channels and
+// timers only, so that it also works in virtual time, in a bubble of testing/synctest.
 type Mem struct {
 	mu        sync.Mutex
 	listeners map[netip.AddrPort]*memListener // guarded by mu
 	conns     map[*memConn]struct{}           // guarded by mu
 	delay     func(from, to string) time.Duration
-	cut       map[link]bool         // guarded by mu
+	cut       map[sitePair]bool     // guarded by mu
 	sites     map[string][]*memSite // guarded by mu
 	frozen    map[string]bool       // by site; guarded by mu
 }
 
-type link struct{ from, to string }
+// sitePair is one direction of the link between two sites.
+type sitePair struct{ from, to string }
 
-// NewMem returns a network whose one-way delays are given by delay.
+// NewMem returns a network without sites. delay returns the one-way delay between two sites.
 func NewMem(delay func(from, to string) time.Duration) *Mem {
 	return &Mem{
 		listeners: make(map[netip.AddrPort]*memListener),
 		conns:     make(map[*memConn]struct{}),
 		delay:     delay,
-		cut:       make(map[link]bool),
+		cut:       make(map[sitePair]bool),
 		sites:     make(map[string][]*memSite),
 		frozen:    make(map[string]bool),
 	}
 }
 
-// Site returns the network as seen from a site. After the site is killed it
-// carries nothing; a process that starts there again asks for a new one.
+// Site returns the network as used by a process at a site. It fails after the
+// site is killed; a process that is restarted there must call Site again.
 func (m *Mem) Site(name string) Network {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := &memSite{m: m, name: name}
+	s := &memSite{mem: m, name: name}
 	m.sites[name] = append(m.sites[name], s)
 	return s
 }
 
-// Cut parts two sites, both ways, or joins them again. Open connections stay
-// and carry nothing while the sites are parted.
+// Cut cuts the link between two sites in both directions, or restores it. Open
+// connections stay open, but deliver nothing while the link is cut.
 func (m *Mem) Cut(a, b string, cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut[link{a, b}] = cut
-	m.cut[link{b, a}] = cut
+	m.cut[sitePair{a, b}] = cut
+	m.cut[sitePair{b, a}] = cut
 }
 
-// Kill closes the listeners and connections of a site, at once and for good.
+// Kill closes all listeners and connections of a site, and makes its Networks fail.
 func (m *Mem) Kill(site string) {
 	m.mu.Lock()
 	for _, s := range m.sites[site] {
-		s.dead = true
+		s.killed = true
 	}
 	delete(m.sites, site)
 	var conns []*memConn
@@ -84,8 +86,8 @@
 	}
 }
 
-// Freeze stops the processes of a site from reading and connecting, or lets them go on. What
-// others send meanwhile waits for them; what they write, for their going on.
+// Freeze stops the processes of a site from reading and connecting, or lets them continue.
+// Data sent to or from the site in the meantime is delivered once the site continues.
 func (m *Mem) Freeze(site string, frozen bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,83 +100,83 @@
 	return m.frozen[site]
 }
 
-// awaitThaw returns once a site is not frozen.
-func (m *Mem) awaitThaw(site string) {
+// waitUnfrozen blocks while a site is frozen.
+func (m *Mem) waitUnfrozen(site string) {
 	for m.isFrozen(site) {
-		time.Sleep(thawPoll)
+		time.Sleep(frozenPollInterval)
 	}
 }
 
-func (m *Mem) parted(from, to string) bool {
+func (m *Mem) isCut(from, to string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.cut[link{from, to}]
+	return m.cut[sitePair{from, to}]
 }
 
 type memSite struct {
-	m    *Mem
-	name string
-	dead bool // guarded by m.mu
+	mem    *Mem
+	name   string
+	killed bool // guarded by m.mu
 }
 
 func (s *memSite) Listen(addr netip.AddrPort) (net.Listener, error) {
-	s.m.mu.Lock()
-	defer s.m.mu.Unlock()
-	if s.dead {
-		return nil, errDead
+	s.mem.mu.Lock()
+	defer s.mem.mu.Unlock()
+	if s.killed {
+		return nil, errSiteKilled
 	}
-	if _, used := s.m.listeners[addr]; used {
+	if _, used := s.mem.listeners[addr]; used {
 		return nil, fmt.Errorf("listen %s: address in use", addr)
 	}
-	l := &memListener{m: s.m, addr: addr, site: s.name, accept: make(chan net.Conn), done: make(chan struct{})}
-	s.m.listeners[addr] = l
+	l := &memListener{mem: s.mem, addr: addr, site: s.name, accept: make(chan net.Conn), done: make(chan struct{})}
+	s.mem.listeners[addr] = l
 	return l, nil
 }
 
 var (
-	errRefused = syscall.ECONNREFUSED
-	errDead    = errors.New("this site was killed")
+	errRefused    = syscall.ECONNREFUSED
+	errSiteKilled = errors.New("site was killed")
 )
 
 func (s *memSite) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
-	s.m.awaitThaw(s.name)
+	s.mem.waitUnfrozen(s.name)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	s.m.mu.Lock()
-	l, dead := s.m.listeners[addr], s.dead
-	s.m.mu.Unlock()
+	s.mem.mu.Lock()
+	l, dead := s.mem.listeners[addr], s.killed
+	s.mem.mu.Unlock()
 	if dead {
-		return nil, errDead
+		return nil, errSiteKilled
 	}
 	if l == nil {
 		return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 	}
-	if s.m.parted(s.name, l.site) {
+	if s.mem.isCut(s.name, l.site) {
 		<-ctx.Done()
 		return nil, fmt.Errorf("dial %s: %w", addr, ctx.Err())
 	}
-	there, back := newPipe(), newPipe()
-	local := &memConn{m: s.m, site: s.name, peerSite: l.site, in: back, out: there, remote: addr}
-	far := &memConn{m: s.m, site: l.site, peerSite: s.name, in: there, out: back, remote: addr}
-	local.other, far.other = far, local
-	s.m.mu.Lock()
-	s.m.conns[local] = struct{}{}
-	s.m.conns[far] = struct{}{}
-	s.m.mu.Unlock()
+	toListener, toDialer := newPipe(), newPipe()
+	dialer := &memConn{mem: s.mem, site: s.name, peerSite: l.site, in: toDialer, out: toListener, remote: addr}
+	accepted := &memConn{mem: s.mem, site: l.site, peerSite: s.name, in: toListener, out: toDialer, remote: addr}
+	dialer.peer, accepted.peer = accepted, dialer
+	s.mem.mu.Lock()
+	s.mem.conns[dialer] = struct{}{}
+	s.mem.conns[accepted] = struct{}{}
+	s.mem.mu.Unlock()
 	select {
-	case l.accept <- far:
-		return local, nil
+	case l.accept <- accepted:
+		return dialer, nil
 	case <-l.done:
-		_ = local.Close()
+		_ = dialer.Close()
 		return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 	case <-ctx.Done():
-		_ = local.Close()
+		_ = dialer.Close()
 		return nil, fmt.Errorf("dial %s: %w", addr, ctx.Err())
 	}
 }
 
 type memListener struct {
-	m      *Mem
+	mem    *Mem
 	addr   netip.AddrPort
 	site   string
 	accept chan net.Conn
@@ -185,7 +187,7 @@
 func (l *memListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accept:
-		l.m.awaitThaw(l.site)
+		l.mem.waitUnfrozen(l.site)
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -195,37 +197,37 @@
 func (l *memListener) close() { l.once.Do(func() { close(l.done) }) }
 
 func (l *memListener) Close() error {
-	l.m.mu.Lock()
-	if l.m.listeners[l.addr] == l {
-		delete(l.m.listeners, l.addr)
+	l.mem.mu.Lock()
+	if l.mem.listeners[l.addr] == l {
+		delete(l.mem.listeners, l.addr)
 	}
-	l.m.mu.Unlock()
+	l.mem.mu.Unlock()
 	l.close()
 	return nil
 }
 
 func (l *memListener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.addr) }
 
-// pipe is one direction of a connection: chunks with the time from which they
-// can be read.
+// pipe is one direction of a connection, a queue of chunks of data.
 type pipe struct {
 	mu       sync.Mutex
 	chunks   []chunk       // guarded by mu
-	size     int           // guarded by mu
+	size     int           // unread bytes; guarded by mu
 	closed   bool          // guarded by mu
 	changed  chan struct{} // closed and replaced at each change; guarded by mu
 	deadline time.Time     // read deadline; guarded by mu
 }
 
+// chunk is the data of one Write, or what is left to read of it.
 type chunk struct {
-	due  time.Time
+	due  time.Time // from which the data can be read
 	data []byte
 }
 
 const (
-	pipeCapacity = 256 << 10
-	cutPoll      = 50 * time.Millisecond
-	thawPoll     = 5 * time.Millisecond
+	pipeCapacity       = 256 << 10 // bytes
+	cutPollInterval    = 50 * time.Millisecond
+	frozenPollInterval = 5 * time.Millisecond
 )
 
 func newPipe() *pipe { return &pipe{changed: make(chan struct{})} }
@@ -236,12 +238,12 @@
 }
 
 type memConn struct {
-	m              *Mem
+	mem            *Mem
 	site, peerSite string
 	in, out        *pipe
-	other          *memConn
+	peer           *memConn
 	remote         netip.AddrPort
-	closed         atomic.Bool // closed from this side: its reads end at once
+	closed         atomic.Bool // closed locally: reads fail at once, even if there is unread data
 
 	mu            sync.Mutex
 	writeDeadline time.Time // guarded by mu
@@ -257,33 +259,33 @@
 		wait := time.Duration(-1)
 		if len(p.chunks) > 0 {
 			wait = max(0, time.Until(p.chunks[0].due))
-			if wait == 0 && !c.m.parted(c.peerSite, c.site) && !c.m.isFrozen(c.site) && !c.m.isFrozen(c.peerSite) {
-				n := p.take(b)
+			if wait == 0 && !c.mem.isCut(c.peerSite, c.site) && !c.mem.isFrozen(c.site) && !c.mem.isFrozen(c.peerSite) {
+				n := p.read(b)
 				p.mu.Unlock()
 				return n, nil
 			}
 			wait = max(wait, time.Duration(0))
 			if wait == 0 {
-				wait = cutPoll
-				if c.m.isFrozen(c.site) || c.m.isFrozen(c.peerSite) {
-					wait = thawPoll
+				wait = cutPollInterval
+				if c.mem.isFrozen(c.site) || c.mem.isFrozen(c.peerSite) {
+					wait = frozenPollInterval
 				}
 			}
-		} else if p.closed && c.m.isFrozen(c.site) {
-			wait = thawPoll
+		} else if p.closed && c.mem.isFrozen(c.site) {
+			wait = frozenPollInterval
 		} else if p.closed {
 			p.mu.Unlock()
 			return 0, io.EOF
 		}
 		changed, deadline := p.changed, p.deadline
 		p.mu.Unlock()
-		if err := waitFor(changed, deadline, wait); err != nil {
+		if err := waitChanged(changed, deadline, wait); err != nil {
 			return 0, err
 		}
 	}
 }
 
-func (p *pipe) take(b []byte) int {
+func (p *pipe) read(b []byte) int {
 	n := copy(b, p.chunks[0].data)
 	p.chunks[0].data = p.chunks[0].data[n:]
 	if len(p.chunks[0].data) == 0 {
@@ -294,9 +296,9 @@
 	return n
 }
 
-// waitFor returns when changed is closed, wait has passed (if not negative),
-// or with an error at the deadline.
-func waitFor(changed chan struct{}, deadline time.Time, wait time.Duration) error {
+// waitChanged waits until changed is closed or wait has passed. A negative wait has no limit.
+// It returns os.ErrDeadlineExceeded if the deadline, unless zero, passes first.
+func waitChanged(changed chan struct{}, deadline time.Time, wait time.Duration) error {
 	var due <-chan time.Time
 	if wait >= 0 {
 		t := time.NewTimer(wait)
@@ -332,7 +334,7 @@
 		}
 		if p.size < pipeCapacity {
 			data := append([]byte(nil), b...)
-			p.chunks = append(p.chunks, chunk{time.Now().Add(c.m.delay(c.site, c.peerSite)), data})
+			p.chunks = append(p.chunks, chunk{time.Now().Add(c.mem.delay(c.site, c.peerSite)), data})
 			p.size += len(data)
 			p.signal()
 			p.mu.Unlock()
@@ -343,7 +345,7 @@
 		c.mu.Lock()
 		deadline := c.writeDeadline
 		c.mu.Unlock()
-		if err := waitFor(changed, deadline, -1); err != nil {
+		if err := waitChanged(changed, deadline, -1); err != nil {
 			return 0, err
 		}
 	}
@@ -351,10 +353,10 @@
 
 func (c *memConn) Close() error {
 	c.closed.Store(true)
-	c.m.mu.Lock()
-	delete(c.m.conns, c)
-	delete(c.m.conns, c.other)
-	c.m.mu.Unlock()
+	c.mem.mu.Lock()
+	delete(c.mem.conns, c)
+	delete(c.mem.conns, c.peer)
+	c.mem.mu.Unlock()
 	for _, p := range []*pipe{c.in, c.out} {
 		p.mu.Lock()
 		p.closed = true
--- a/internal/netx/netx.go
+++ b/internal/netx/netx.go
@@ -1,7 +1,8 @@
-// Package netx is the network that every part dials and listens through, so
-// that whole processes run over TCP or over in-memory pipes in virtual time.
+// Package netx abstracts the network. All components dial and listen through a
+// Network, so that whole processes can run over TCP, or in tests over in-memory
+// pipes in virtual time.
 //
-// TCP is stateless; Mem is safe for concurrent use.
+// TCP and Mem are safe for concurrent use.
 package netx
 
 import (
@@ -20,20 +21,22 @@
 	Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 }
 
-// TCP is the operating system's network.
+// TCP is the TCP network of the operating system.
 type TCP struct{}
 
 const (
 	dialTimeout = 1500 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay without an acknowledgement:
-	// a peer behind a cut or without power says nothing.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before the
+	// connection is closed. It detects a peer that is unreachable or without
+	// power, which sends no reset.
 	unackedTimeout = 2 * time.Second
-	probeEvery     = time.Second
-	probes         = 2
+	probeInterval  = time.Second
+	probeCount     = 2
 )
 
-// keepAlive finds a silent peer on a connection that only reads.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probes}
+// keepAlive detects an unreachable peer on a connection without unacknowledged data, such as
+// one that only receives.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
 
 // Listen implements Network.
 func (TCP) Listen(addr netip.AddrPort) (net.Listener, error) {
@@ -46,9 +49,10 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// limitUnacked bounds how long a connection waits for acknowledgements.
+// limitUnacked sets TCP_USER_TIMEOUT, which limits how long a connection waits for
+// acknowledgements.
 func limitUnacked(_, _ string, raw syscall.RawConn) error {
-	const tcpUserTimeout = 0x12 // not named by package syscall
+	const tcpUserTimeout = 0x12 // TCP_USER_TIMEOUT, which package syscall does not define
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
@@ -57,11 +61,12 @@
 }
 
 const (
-	idlePerHost = 256
-	idleTimeout = 30 * time.Second
+	maxIdlePerHost = 256
+	idleTimeout    = 30 * time.Second
 )
 
-// Transport returns an HTTP transport that dials through n.
+// Transport returns an HTTP transport that dials through n. Hosts must be IP addresses with a
+// port, since names are not resolved.
 func Transport(n Network) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -71,7 +76,7 @@
 			}
 			return n.Dial(ctx, ap)
 		},
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
