--- a/internal/settings/front.go
+++ b/internal/settings/front.go
@@ -6,84 +6,85 @@
 	"time"
 )
 
-// Front places one node that stands between clients and servers.
+// Front holds the settings of a front instance, which forwards requests of clients to endpoints.
 type Front struct {
-	Name     string         `toml:"name" help:"Name of the node, unique among the nodes."`
-	Hall     string         `toml:"hall" help:"Hall the node runs in."`
+	Name     string         `toml:"name" help:"Name of the instance, unique among the front instances."`
+	Hall     string         `toml:"hall" help:"Hall that the instance runs in."`
 	Region   string         `toml:"region" help:"Region of the hall."`
-	Front    netip.AddrPort `toml:"front_address" help:"Address clients reach the node at."`
-	Ready    netip.AddrPort `toml:"ready_address" help:"Address at which the node says whether it takes connections."`
-	Peer     netip.AddrPort `toml:"peer_address" help:"Address the other nodes reach it at."`
+	Front    netip.AddrPort `toml:"front_address" help:"Address at which the instance accepts connections of clients."`
+	Ready    netip.AddrPort `toml:"ready_address" help:"Address of the readiness check, which reports whether the instance accepts connections."`
+	Peer     netip.AddrPort `toml:"peer_address" help:"Address at which the other instances connect to it."`
 	Metrics  netip.AddrPort `toml:"metrics_address" help:"Address that serves /metrics."`
 	Store    netip.AddrPort `toml:"store_address" help:"Address of the platform's metadata store."`
-	Cloud    netip.AddrPort `toml:"cloud_address" help:"Address of the platform's calls for the one node that acts for all; empty where there are none."`
-	MemoryMB int            `toml:"memory_mb" help:"Memory that the process may take, in MB; 0 is no limit."`
-	Cores    float64        `toml:"cores" help:"Processor time that the process may take, in cores; 0 where it is not known."`
-	// QuarantineS is one minute where it is not given: a caller that sends a deadly request
-	// by mistake has gone by then, and new versions take longer.
-	QuarantineS float64 `toml:"quarantine_s" help:"Time for which a request does not run under which three endpoints ended; 0 for 60."`
-	Bounds      Bounds  `toml:"bounds" help:"What the deployment asks to be kept to."`
+	Cloud    netip.AddrPort `toml:"cloud_address" help:"Address of the platform's API for the instance that leads the fleet; empty if the deployment has none."`
+	MemoryMB int            `toml:"memory_mb" help:"Memory limit of the process, in MB; 0 for no limit."`
+	Cores    float64        `toml:"cores" help:"CPU limit of the process, in cores; 0 if unknown."`
+	// QuarantineS defaults to one minute. By then a caller that sent a request that crashes
+	// endpoints by mistake has stopped retrying, and deploying a new version of an endpoint
+	// takes longer than that.
+	QuarantineS float64 `toml:"quarantine_s" help:"Time for which a request is not run after three endpoints ended while running it, in seconds; 0 for 60."`
+	Bounds      Bounds  `toml:"bounds" help:"Time limits and quotas that the deployment requires."`
 }
 
-// quarantineDefault is the length of a quarantine where it is not given, in seconds.
-const quarantineDefault = 60
+// defaultQuarantineS is the default of Front.QuarantineS.
+const defaultQuarantineS = 60
 
-// Quarantine returns how long a request does not run under which endpoints ended.
+// Quarantine returns the time for which a request is not run after endpoints ended while running it.
 func (s *Front) Quarantine() time.Duration {
-	return inSeconds(cmp.Or(s.QuarantineS, quarantineDefault))
+	return inSeconds(cmp.Or(s.QuarantineS, defaultQuarantineS))
 }
 
-// Bounds are what the deployment asks to be kept to. Times become deadlines as
-// soon as what they bound begins.
+// Bounds are the time limits and quotas that the deployment requires. A time limit counts from
+// the event that it is about, such as the removal of a key.
 type Bounds struct {
-	RevokeMs     float64 `toml:"revoke_ms" help:"Time after which a key that was taken away must not work any more."`
-	StrictRevoke bool    `toml:"strict_revoke" help:"Whether the time above binds a node that is without the store, too. Without it, such a node goes on with the keys that it knows."`
-	ConfigMs     float64 `toml:"config_ms" help:"Time after which a configuration that the store has taken must be in force."`
-	OuterMs      float64 `toml:"outer_ms" help:"Time added to that for a node that the store turns away while it serves others."`
-	DrainMs      float64 `toml:"drain_ms" help:"Time after which a server that leaves must get no new work."`
-	GraceS       float64 `toml:"grace_s" help:"Time from the signal to stop to the end of the process."`
-	RetryRatio   float64 `toml:"retry_ratio" help:"Second tries allowed for each request."`
-	RetrySlack   float64 `toml:"retry_slack" help:"Second tries allowed beside, in each window."`
-	RetryWindowS float64 `toml:"retry_window_s" help:"Window of the slack."`
-	QuotaOver    float64 `toml:"quota_over" help:"Share by which a window may go over a client account's limit."`
-	QuotaSlack   float64 `toml:"quota_slack" help:"Units by which a window may go over a client account's limit beside."`
-	QuotaWindowS float64 `toml:"quota_window_s" help:"Window over which the use of a limit is judged."`
-	LeaseMs      float64 `toml:"lease_ms" help:"Lease of the node that acts for all."`
-	UsageWindowS float64 `toml:"usage_window_s" help:"Window that usage is reported for."`
-	ExposeShare  float64 `toml:"expose_share" help:"Share of a service's requests that a version on trial may get; 0 where there are no roll-outs."`
-	ExposeSlack  float64 `toml:"expose_slack" help:"Requests that it may get beside."`
+	RevokeMs     float64 `toml:"revoke_ms" help:"Time after which a removed key must be rejected."`
+	StrictRevoke bool    `toml:"strict_revoke" help:"Whether revoke_ms also applies to an instance that cannot reach the store. If false, such an instance continues to accept the keys that it knows."`
+	ConfigMs     float64 `toml:"config_ms" help:"Time after which a configuration written to the store must be in force."`
+	OuterMs      float64 `toml:"outer_ms" help:"Time added to config_ms for an instance whose calls the store refuses while it serves others."`
+	DrainMs      float64 `toml:"drain_ms" help:"Time after which an endpoint that is leaving must get no new requests."`
+	GraceS       float64 `toml:"grace_s" help:"Time from the stop signal to the end of the process."`
+	RetryRatio   float64 `toml:"retry_ratio" help:"Retries allowed per request."`
+	RetrySlack   float64 `toml:"retry_slack" help:"Retries allowed in each window in addition to retry_ratio."`
+	RetryWindowS float64 `toml:"retry_window_s" help:"Window of retry_slack."`
+	QuotaOver    float64 `toml:"quota_over" help:"Share by which the use in a window may exceed the limit of a client account."`
+	QuotaSlack   float64 `toml:"quota_slack" help:"Units by which the use in a window may exceed the limit in addition to quota_over."`
+	QuotaWindowS float64 `toml:"quota_window_s" help:"Window over which the use of a limit is measured."`
+	LeaseMs      float64 `toml:"lease_ms" help:"Lease of the instance that leads the fleet."`
+	UsageWindowS float64 `toml:"usage_window_s" help:"Window for which usage is reported."`
+	ExposeShare  float64 `toml:"expose_share" help:"Share of a service's requests that a version on trial may get; 0 if there are no roll-outs."`
+	ExposeSlack  float64 `toml:"expose_slack" help:"Requests that a version on trial may get in addition to expose_share."`
 	UsageLateS   float64 `toml:"usage_late_s" help:"Time after the end of a window at which its report is due."`
 }
 
-// Revoke returns the time after which a key taken away must not work.
+// Revoke returns the time after which a removed key must be rejected.
 func (b Bounds) Revoke() time.Duration { return inMilliseconds(b.RevokeMs) }
 
-// Config returns the time after which a configuration must be in force at a
-// node that the store serves.
+// Config returns the time after which a configuration must be in force at an
+// instance whose calls the store answers.
 func (b Bounds) Config() time.Duration { return inMilliseconds(b.ConfigMs) }
 
-// Outer returns the time added to Config for a node that the store turns away.
+// StoreRefusedExtra returns the time added to Config for an instance whose calls the store refuses.
 func (b Bounds) Outer() time.Duration { return inMilliseconds(b.OuterMs) }
 
-// Drain returns the time after which a leaving server must get no new work.
+// Drain returns the time after which a leaving endpoint must get no new requests.
 func (b Bounds) Drain() time.Duration { return inMilliseconds(b.DrainMs) }
 
-// Grace returns the time that a stopping process has.
+// Grace returns the time from the stop signal to the end of the process.
 func (b Bounds) Grace() time.Duration { return inSeconds(b.GraceS) }
 
-// RetryWindow returns the window of second tries.
+// RetryWindow returns the window of RetrySlack.
 func (b Bounds) RetryWindow() time.Duration { return inSeconds(b.RetryWindowS) }
 
-// QuotaWindow returns the window over which the use of a limit is judged.
+// QuotaWindow returns the window over which the use of a limit is measured.
 func (b Bounds) QuotaWindow() time.Duration { return inSeconds(b.QuotaWindowS) }
 
-// Lease returns the lease of the node that acts for all.
+// Lease returns the lease of the instance that leads the fleet.
 func (b Bounds) Lease() time.Duration { return inMilliseconds(b.LeaseMs) }
 
-// UsageWindow returns the window that usage is reported for.
+// UsageWindow returns the window for which usage is reported.
 func (b Bounds) UsageWindow() time.Duration { return inSeconds(b.UsageWindowS) }
 
-// UsageLate returns the time after a window's end at which its report is due.
+// UsageLate returns the time after the end of a window at which its report is due.
 func (b Bounds) UsageLate() time.Duration { return inSeconds(b.UsageLateS) }
 
 func inSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -92,30 +93,30 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// LoadFront reads and checks the settings of a node.
+// LoadFront reads and checks the settings of a front instance. A *FaultsError lists all faults.
 func LoadFront(file string) (Front, error) {
 	var s Front
-	err := read(file, &s, func(lines map[string]int) []Fault { return s.check(lines) })
+	err := loadFile(file, &s, func(lines map[string]int) []Fault { return s.check(lines) })
 	return s, err
 }
 
 func (s *Front) check(lines map[string]int) []Fault {
 	c := checker{lines: lines}
-	c.need("name", s.Name != "")
-	c.need("hall", s.Hall != "")
-	c.need("front_address", s.Front.IsValid())
-	c.need("ready_address", s.Ready.IsValid())
-	c.need("peer_address", s.Peer.IsValid())
-	c.need("metrics_address", s.Metrics.IsValid())
-	c.need("store_address", s.Store.IsValid())
-	c.positive("bounds.revoke_ms", s.Bounds.RevokeMs)
-	c.positive("bounds.config_ms", s.Bounds.ConfigMs)
-	c.positive("bounds.drain_ms", s.Bounds.DrainMs)
-	c.positive("bounds.grace_s", s.Bounds.GraceS)
-	c.positive("bounds.lease_ms", s.Bounds.LeaseMs)
-	c.positive("bounds.usage_window_s", s.Bounds.UsageWindowS)
-	c.positive("bounds.retry_window_s", s.Bounds.RetryWindowS)
-	c.apart(map[string]netip.AddrPort{
+	c.require("name", s.Name != "")
+	c.require("hall", s.Hall != "")
+	c.require("front_address", s.Front.IsValid())
+	c.require("ready_address", s.Ready.IsValid())
+	c.require("peer_address", s.Peer.IsValid())
+	c.require("metrics_address", s.Metrics.IsValid())
+	c.require("store_address", s.Store.IsValid())
+	c.requirePositive("bounds.revoke_ms", s.Bounds.RevokeMs)
+	c.requirePositive("bounds.config_ms", s.Bounds.ConfigMs)
+	c.requirePositive("bounds.drain_ms", s.Bounds.DrainMs)
+	c.requirePositive("bounds.grace_s", s.Bounds.GraceS)
+	c.requirePositive("bounds.lease_ms", s.Bounds.LeaseMs)
+	c.requirePositive("bounds.usage_window_s", s.Bounds.UsageWindowS)
+	c.requirePositive("bounds.retry_window_s", s.Bounds.RetryWindowS)
+	c.requireDistinct(map[string]netip.AddrPort{
 		"front_address": s.Front, "ready_address": s.Ready, "peer_address": s.Peer, "metrics_address": s.Metrics,
 	})
 	return c.faults
--- a/internal/settings/front_test.go
+++ b/internal/settings/front_test.go
@@ -55,11 +55,11 @@
 	is := is.New(t)
 	s, faults := loadFront(t, goodFront)
 	is.Equal(len(faults), 0)
-	is.Equal(s.Bounds.Grace().Seconds(), 8.0) // whole numbers and fractions
-	is.True(!s.Cloud.IsValid())               // where there are no duties
+	is.Equal(s.Bounds.Grace().Seconds(), 8.0) // given without a decimal point
+	is.True(!s.Cloud.IsValid())               // an empty address is not set
 }
 
-// Any bound may be a fraction: a deployment divides what it allows by its size.
+// Bounds may be fractions, since a deployment divides its totals by its size.
 func TestBoundsMayBeFractions(t *testing.T) {
 	is := is.New(t)
 	s, faults := loadFront(t, strings.NewReplacer("5000", "5000.5", "2000", "2000.25", "3000", "3000.0").Replace(goodFront)+
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,10 @@
-// Package settings reads the TOML file that places a process: its addresses,
-// its hall and region, the platform's addresses and its certificates. Policy
-// is never in settings; it is in the operators' table.
+// Package settings reads the TOML file with the settings of one process: its
+// addresses, its hall and region, the platform's addresses, its certificates
+// and the limits that the deployment requires. Policy is not part of the
+// settings; the operators set it in the store.
 //
-// Load reports every fault of a file at once, each with its line and key.
+// LoadEntry and LoadFront report all faults of a file at once, each with its
+// line and key.
 package settings
 
 import (
@@ -20,29 +22,29 @@
 	"github.com/samber/lo"
 )
 
-// Serve places one entry instance.
+// Entry holds the settings of an entry instance.
 type Serve struct {
 	Name   string         `toml:"name" help:"Name of the instance, unique among the entry instances."`
-	Hall   string         `toml:"hall" help:"Hall the instance runs in."`
+	Hall   string         `toml:"hall" help:"Hall that the instance runs in."`
 	Region string         `toml:"region" help:"Region of the hall."`
-	Caller netip.AddrPort `toml:"caller_address" help:"Address callers and operators reach the instance at."`
-	Peer   netip.AddrPort `toml:"peer_address" help:"Address the other entry instances reach it at."`
+	Caller netip.AddrPort `toml:"caller_address" help:"Address at which callers and operators connect to the instance."`
+	Peer   netip.AddrPort `toml:"peer_address" help:"Address at which the other entry instances connect to it."`
 	Store  netip.AddrPort `toml:"store_address" help:"Address of the platform's key-value service."`
 	List   netip.AddrPort `toml:"list_address" help:"Address of the platform's instance list and cloud API."`
-	Plain  bool           `toml:"plain_text" help:"Must be true to run without TLS; traffic is then readable on the network."`
-	TLS    TLS            `toml:"tls" help:"Certificates; needed unless plain_text is true."`
+	Plain  bool           `toml:"plain_text" help:"Must be true to run without TLS; traffic is then not encrypted."`
+	TLS    TLS            `toml:"tls" help:"Certificates; required unless plain_text is true."`
 }
 
-// TLS names the certificate files. They are read again when they change.
+// TLS holds the names of the certificate files, which are reloaded when they change.
 type TLS struct {
 	Authority string `toml:"authority_file" help:"Certificate of the authority that signs entry instances' certificates."`
 	Cert      string `toml:"certificate_file" help:"Certificate of this instance."`
 	Key       string `toml:"key_file" help:"Private key of this instance."`
 }
 
-// Fault is one thing wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
-	Line   int    `json:"line"` // from 1; 0 when the fault belongs to no line
+	Line   int    `json:"line"` // from 1; 0 if the fault has no line
 	Key    string `json:"key"`
 	Reason string `json:"reason"`
 }
@@ -52,7 +54,7 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Key, f.Reason)
 }
 
-// FaultsError is all that is wrong with a file.
+// FaultsError reports all faults of a settings file.
 type FaultsError struct {
 	File   string
 	Faults []Fault
@@ -67,29 +69,30 @@
 	return strings.Join(lines, "\n")
 }
 
-// LoadServe reads and checks the settings of an entry instance.
+// LoadEntry reads and checks the settings of an entry instance. A *FaultsError lists all faults.
 func LoadServe(file string) (Serve, error) {
 	var s Serve
-	err := read(file, &s, func(lines map[string]int) []Fault { return s.check(lines) })
+	err := loadFile(file, &s, func(lines map[string]int) []Fault { return s.check(lines) })
 	return s, err
 }
 
-// read reads a file into the struct that s points to.
-func read(file string, s any, check func(lines map[string]int) []Fault) error {
+// loadFile decodes a file into the struct that s points to, and checks it. check gets the line of
+// each key in the file.
+func loadFile(file string, s any, check func(lines map[string]int) []Fault) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return &FaultsError{File: file, Faults: []Fault{{0, "file", err.Error()}}}
 	}
-	faults := append(parse(b, s), check(keyLines(b))...)
-	faults = lo.UniqBy(faults, func(f Fault) string { return f.Key }) // the first says why
+	faults := append(decode(b, s), check(keyLines(b))...)
+	faults = lo.UniqBy(faults, func(f Fault) string { return f.Key }) // the first fault of a key is the most specific
 	if len(faults) > 0 {
 		return &FaultsError{File: file, Faults: faults}
 	}
 	return nil
 }
 
-// IsFront reports whether a file holds the settings of a node that stands
-// between clients and servers, by the keys that only these have.
+// IsFront reports whether a file holds the settings of a front instance. It
+// looks for front_address, which only these settings have.
 func IsFront(file string) bool {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -99,8 +102,9 @@
 	return ok
 }
 
-// parse decodes key by key, so that one wrong value does not hide the next.
-func parse(b []byte, s any) []Fault {
+// decode sets the fields of the struct that s points to. Each value is decoded on its own, so
+// that one invalid value does not hide the next.
+func decode(b []byte, s any) []Fault {
 	lines := keyLines(b)
 	var tree map[string]any
 	if err := toml.Unmarshal(b, &tree); err != nil {
@@ -111,10 +115,11 @@
 		}
 		return []Fault{{0, "file", err.Error()}}
 	}
-	return fill(tree, reflect.ValueOf(s).Elem(), "", lines)
+	return decodeTable(tree, reflect.ValueOf(s).Elem(), "", lines)
 }
 
-func fill(tree map[string]any, v reflect.Value, prefix string, lines map[string]int) []Fault {
+// decodeTable sets the fields of v from a table. prefix is the dotted key of the table.
+func decodeTable(tree map[string]any, v reflect.Value, prefix string, lines map[string]int) []Fault {
 	var faults []Fault
 	known := make(map[string]int)
 	for i := range v.NumField() {
@@ -134,6 +139,7 @@
 	return faults
 }
 
+// setField sets a field from a decoded value, and returns a fault if the type does not match.
 func setField(field reflect.Value, value any, key string, lines map[string]int) []Fault {
 	wrong := func(want string) []Fault {
 		return []Fault{{lines[key], key, fmt.Sprintf("want %s, got %v", want, value)}}
@@ -172,7 +178,7 @@
 			return wrong(`an address as "IP:PORT"`)
 		}
 		if s == "" {
-			return nil // not given
+			return nil // empty means not set
 		}
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -184,32 +190,32 @@
 		if !ok {
 			return wrong("a table")
 		}
-		return fill(sub, field, key+".", lines)
+		return decodeTable(sub, field, key+".", lines)
 	}
 	return nil
 }
 
 func (s *Serve) check(lines map[string]int) []Fault {
 	c := checker{lines: lines}
-	c.need("name", s.Name != "")
-	c.need("hall", s.Hall != "")
-	c.need("caller_address", s.Caller.IsValid())
-	c.need("peer_address", s.Peer.IsValid())
-	c.need("store_address", s.Store.IsValid())
-	c.need("list_address", s.List.IsValid())
-	c.apart(map[string]netip.AddrPort{"caller_address": s.Caller, "peer_address": s.Peer})
+	c.require("name", s.Name != "")
+	c.require("hall", s.Hall != "")
+	c.require("caller_address", s.Caller.IsValid())
+	c.require("peer_address", s.Peer.IsValid())
+	c.require("store_address", s.Store.IsValid())
+	c.require("list_address", s.List.IsValid())
+	c.requireDistinct(map[string]netip.AddrPort{"caller_address": s.Caller, "peer_address": s.Peer})
 	return append(c.faults, s.checkTLS(lines)...)
 }
 
-// checker collects what is wrong with settings.
+// checker collects the faults of settings.
 type checker struct {
-	lines  map[string]int // of the keys that are given
+	lines  map[string]int // line of each key in the file
 	faults []Fault
 }
 
-// need reports a key that is missing, or given but empty. A value that could
-// not be read was reported before.
-func (c *checker) need(key string, ok bool) {
+// require reports a key that is missing, empty or not readable, unless ok. For a
+// value that could not be decoded, the earlier fault takes precedence.
+func (c *checker) require(key string, ok bool) {
 	if ok {
 		return
 	}
@@ -221,16 +227,16 @@
 	c.faults = append(c.faults, Fault{line, key, reason})
 }
 
-// positive reports a number that is not above 0.
-func (c *checker) positive(key string, value float64) {
+// requirePositive reports a number that is missing or not above 0.
+func (c *checker) requirePositive(key string, value float64) {
 	if value > 0 {
 		return
 	}
 	c.faults = append(c.faults, Fault{c.lines[key], key, "missing, or not above 0"})
 }
 
-// apart reports addresses that are used twice.
-func (c *checker) apart(addrs map[string]netip.AddrPort) {
+// requireDistinct reports addresses that are used more than once. Unset addresses are ignored.
+func (c *checker) requireDistinct(addrs map[string]netip.AddrPort) {
 	seen := make(map[netip.AddrPort]string)
 	for _, key := range slices.Sorted(maps.Keys(addrs)) {
 		addr := addrs[key]
@@ -238,7 +244,7 @@
 			continue
 		}
 		if other, twice := seen[addr]; twice {
-			c.faults = append(c.faults, Fault{c.lines[key], key, "clashes with " + other + " " + addr.String()})
+			c.faults = append(c.faults, Fault{c.lines[key], key, "same address as " + other + " " + addr.String()})
 		}
 		seen[addr] = key
 	}
@@ -255,7 +261,7 @@
 		{"tls.key_file", s.TLS.Key},
 	} {
 		if f.file == "" {
-			faults = append(faults, Fault{lines[f.key], f.key, "missing; without certificates plain_text = true is needed"})
+			faults = append(faults, Fault{lines[f.key], f.key, "missing; required unless plain_text = true"})
 			continue
 		}
 		if _, err := os.Stat(f.file); err != nil {
@@ -273,7 +279,7 @@
 	var table []string
 	for p.NextExpression() {
 		e := p.Expression()
-		parts, line := keyOf(&p, e)
+		parts, line := keyParts(&p, e)
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			table = parts
@@ -285,7 +291,8 @@
 	return lines
 }
 
-func keyOf(p *unstable.Parser, e *unstable.Node) ([]string, int) {
+// keyParts returns the parts of the dotted key of an expression, and its line.
+func keyParts(p *unstable.Parser, e *unstable.Node) ([]string, int) {
 	var parts []string
 	line := 0
 	for it := e.Key(); it.Next(); {
