--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,7 +1,8 @@
-// Package fault holds the typed error that every step of a request returns.
+// Package fault defines the error type that all steps of a request return.
 //
-// An error names the step, the peer it arose at and, for a request, what is
-// known about its execution. The package is pure and safe for concurrent use.
+// An error contains the step and the peer at which it occurred and, for a
+// request, what is known about its execution. The package has no global state
+// and is safe for concurrent use.
 package fault
 
 import (
@@ -10,18 +11,18 @@
 	"time"
 )
 
-// Run says what is known about the execution of a request.
+// Run is what is known about the execution of a request.
 type Run int
 
-// The three outcomes, never mixed up. MayHaveRun is the zero value, so that a
-// forgotten outcome errs on the safe side.
+// The three states of knowledge. MayHaveRun is the zero value, so that an error without a Run
+// does not claim that the request can be repeated safely.
 const (
-	MayHaveRun Run = iota // the outcome is not known
-	NotRun                // it is certain that no endpoint ran any part of it
+	MayHaveRun Run = iota // it is not known whether an endpoint ran it
+	NotRun                // certainly no endpoint ran any part of it
 	Ran                   // an endpoint ran it
 )
 
-// String returns the word used in the run field of an error answer.
+// String returns the value of the run field of an error answer.
 func (r Run) String() string {
 	switch r {
 	case NotRun:
@@ -33,10 +34,10 @@
 	}
 }
 
-// Step names where in the life of a request or a control action an error arose.
+// Step is the step of a request or of a control action at which an error occurred.
 type Step string
 
-// The steps.
+// The steps of requests and of control actions.
 const (
 	StepParse    Step = "parse"
 	StepAuth     Step = "authenticate"
@@ -53,38 +54,38 @@
 	StepEdit     Step = "edit"
 )
 
-// Kind tells apart the ways a call can fail, for circuit breaking and retries.
+// Kind classifies failures, for circuit breaking and retries.
 type Kind int
 
 // The kinds of failure.
 const (
-	KindInternal Kind = iota // a fault of our own, or not classified
-	KindRefused              // refused before anything was sent, or said so by the peer
-	KindTimeout              // no answer by the deadline
-	KindBroken               // the connection broke after something was sent
-	KindInput                // the caller's request is wrong
-	KindConflict             // the request contradicts an earlier one
-	KindLimit                // a limit or a full queue
-	KindUnauthorised
-	KindNotFound
+	KindInternal     Kind = iota // an internal error, or an unclassified one
+	KindRefused                  // refused by the peer, or failed before anything was sent
+	KindTimeout                  // no answer by the deadline
+	KindBroken                   // the connection failed after something was sent
+	KindInput                    // the caller's request is invalid
+	KindConflict                 // the request contradicts an earlier one
+	KindLimit                    // a limit was exceeded or a queue was full
+	KindUnauthorised             // the caller is not authenticated or not authorised
+	KindNotFound                 // the requested object does not exist
 )
 
-// Error is an error with its step and peer.
+// Error is an error with the step and the peer at which it occurred.
 type Error struct {
 	Step    Step
-	Peer    string // name or address of the peer; empty when local
+	Peer    string // name or address of the peer; empty for a local error
 	Kind    Kind
 	Run     Run
-	RetryAt time.Time // when it makes sense to come back; zero when unknown
+	RetryAt time.Time // earliest useful time for a retry; zero if unknown
 	Err     error
 }
 
-// New makes an Error from a formatted text.
+// New returns an Error whose cause is formatted like fmt.Errorf.
 func New(step Step, peer string, kind Kind, run Run, format string, args ...any) *Error {
 	return &Error{Step: step, Peer: peer, Kind: kind, Run: run, Err: fmt.Errorf(format, args...)}
 }
 
-// Retry sets the time at which it makes sense to come back.
+// Retry sets the earliest useful time for a retry and returns e.
 func (e *Error) Retry(at time.Time) *Error {
 	e.RetryAt = at
 	return e
@@ -101,8 +102,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// As returns err as an *Error. An error of another type becomes an internal
-// one whose outcome is MayHaveRun.
+// As returns the *Error in the chain of err. If there is none, it wraps err in
+// an internal Error of the dispatch step with MayHaveRun.
 func As(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
