--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -21,34 +21,37 @@
 	"github.com/shelfcrank/shelfcrank/platform/platformtest"
 )
 
-// caller sends one request at a time, on a connection that it keeps until that ends.
+// caller is a simulated HTTP client. It sends one request at a time and reuses its connection
+// until that is closed.
 type caller struct {
 	traffic *traffic
 
 	conn        net.Conn // nil if there is none
-	read        *bufio.Reader
-	instance    *instance // that the connection leads to
-	incarnation int
+	reader      *bufio.Reader
+	instance    *instance // peer of conn
+	incarnation int       // process of instance that was running when conn was made
 }
 
-// Times of callers.
+// Connection and retry limits of callers.
 const (
-	connectTimeout = time.Second
-	retryShare     = 3 // of the time left, the longest wait before a retry
-	patience       = 100 * time.Millisecond
+	connectTimeout   = time.Second
+	retryWaitDivisor = 3                      // a retry waits for at most this fraction of the time left
+	minRetryTime     = 100 * time.Millisecond // no retry if less than this is left before the deadline
 )
 
-// request is what a caller asks for, over all its attempts.
+// request is one request of a caller; all its attempts share it.
 type request struct {
-	route  policy.Route
-	method string
-	key    *key
-	body   []byte
-	leaves time.Duration // after which the caller gives up; 0 if it does not
+	route       policy.Route
+	method      string
+	key         *key
+	body        []byte
+	cancelAfter time.Duration // the caller closes the connection after this long; 0 means never
 }
 
-// serve sends a request, and once more if that can do no harm.
-func (c *caller) serve(ctx context.Context, q *request) {
+// sendWithRetry sends a request. If that fails it retries once, provided that the request is
+// idempotent or was refused before it ran, and that the caller has not canceled it. The retry waits
+// for the time in the Retry-After header, limited by retryWaitDivisor.
+func (c *caller) sendWithRetry(ctx context.Context, q *request) {
 	deadline := time.Now().Add(q.route.Timeout)
 	a, wait := c.attempt(ctx, q, time.Until(deadline))
 	final := a.Status >= 200 && a.Status < 500 && !check.Promises(a.Status)
@@ -56,7 +59,7 @@
 		return
 	}
 	left := time.Until(deadline)
-	if wait = min(wait, left/retryShare); left < patience {
+	if wait = min(wait, left/retryWaitDivisor); left < minRetryTime {
 		return
 	}
 	sleep(ctx, wait)
@@ -71,25 +74,26 @@
 	}
 }
 
-// connect makes a connection to an instance that is ready.
+// connect opens a connection to an instance that the balancer picks, unless one is open.
 func (c *caller) connect() error {
 	if c.conn != nil {
 		return nil
 	}
-	i := c.traffic.pick()
+	i := c.traffic.pickInstance()
 	if i == nil {
 		return errors.New("no instance")
 	}
-	incarnation, _ := i.process()
+	incarnation, _ := i.status()
 	conn, err := net.DialTimeout("tcp", i.at(frontPort).String(), connectTimeout)
 	if err != nil {
 		return err
 	}
-	c.conn, c.read, c.instance, c.incarnation = conn, bufio.NewReader(conn), i, incarnation
+	c.conn, c.reader, c.instance, c.incarnation = conn, bufio.NewReader(conn), i, incarnation
 	return nil
 }
 
-// attempt makes one attempt and records it. It returns the answer's time to come back.
+// attempt sends the request once and records the outcome, unless no connection could be made or
+// ctx has ended. It returns the retry delay that the response asks for.
 func (c *caller) attempt(ctx context.Context, q *request, left time.Duration) (check.Attempt, time.Duration) {
 	a := check.Attempt{
 		ID: c.traffic.newID(), Route: q.route.Name, Service: q.route.Split[0].Service, Method: q.method, URI: q.route.Prefix + "x",
@@ -99,20 +103,20 @@
 	if err := c.connect(); err != nil {
 		return a, 0 // nothing was sent
 	}
-	a.Instance, a.Incarnation, a.Pieces = c.instance.name, c.incarnation, pieces(a.ID)
+	a.Instance, a.Incarnation, a.Pieces = c.instance.name, c.incarnation, eventCount(a.ID)
 	a.SentAt = time.Now()
-	c.traffic.sentTo(a.ID, a.Instance)
+	c.traffic.setSender(a.ID, a.Instance)
 	end := a.SentAt.Add(left)
-	if q.leaves > 0 && q.leaves < left {
-		end = a.SentAt.Add(q.leaves)
+	if q.cancelAfter > 0 && q.cancelAfter < left {
+		end = a.SentAt.Add(q.cancelAfter)
 	}
-	_ = c.conn.SetDeadline(end.Add(graceForAnswer(q)))
+	_ = c.conn.SetDeadline(end.Add(answerGrace(q)))
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Unix(1, 0)) })
 	wait, err := c.exchange(q, &a)
 	stop()
 	a.EndedAt = time.Now()
 	if err != nil {
-		if q.leaves > 0 && !a.EndedAt.Before(end) {
+		if q.cancelAfter > 0 && !a.EndedAt.Before(end) {
 			a.LeftAt = a.EndedAt
 		}
 		c.close()
@@ -120,21 +124,22 @@
 	if ctx.Err() != nil {
 		return a, 0 // the run is over
 	}
-	c.traffic.operator.describe(&a, q.key)
+	c.traffic.operator.annotate(&a, q.key)
 	c.traffic.record.attempt(a)
 	c.traffic.count(&a)
 	return a, wait
 }
 
-// graceForAnswer is how long after its deadline a caller still reads an answer.
-func graceForAnswer(q *request) time.Duration {
-	if q.leaves > 0 {
+// answerGrace returns for how long after the deadline a caller still reads the response. A caller
+// that cancels its request reads nothing after that.
+func answerGrace(q *request) time.Duration {
+	if q.cancelAfter > 0 {
 		return 0
 	}
 	return time.Second
 }
 
-// exchange sends a request and reads its answer.
+// exchange writes the request and reads the whole response into a.
 func (c *caller) exchange(q *request, a *check.Attempt) (wait time.Duration, err error) {
 	req, err := http.NewRequest(q.method, "http://"+host+a.URI, bytes.NewReader(q.body))
 	if err != nil {
@@ -144,7 +149,7 @@
 	if err := req.Write(c.conn); err != nil {
 		return 0, err
 	}
-	resp, err := http.ReadResponse(c.read, req)
+	resp, err := http.ReadResponse(c.reader, req)
 	if err != nil {
 		return 0, err
 	}
@@ -165,7 +170,8 @@
 	return head.RetryAfter, err
 }
 
-// readStream reads events to the end of a stream.
+// readStream reads server-sent events until the stream ends. It records the event numbers, and
+// whether any event had unexpected data.
 func readStream(r io.Reader, a *check.Attempt) error {
 	scan := bufio.NewScanner(r)
 	event := 0
@@ -183,8 +189,9 @@
 	return scan.Err()
 }
 
-// draw returns the next request of the traffic.
-func (t *traffic) draw(rnd *rand.Rand) *request {
+// drawRequest draws a random request: a probe route in 15 % of the cases once there is one,
+// otherwise a class by weight.
+func (t *traffic) drawRequest(rnd *rand.Rand) *request {
 	q := &request{key: t.operator.pickKey(accountNames[rnd.IntN(len(accountNames))])}
 	if p, ok := t.operator.pickProbe(); ok && rnd.Float64() < 0.15 {
 		q.route, q.method = p, "GET"
@@ -204,8 +211,8 @@
 	if q.method == "POST" {
 		q.body = fmt.Appendf(nil, "body %d %s", rnd.Uint64(), strings.Repeat("x", rnd.IntN(2000)))
 	}
-	if share := t.leaving(); share > 0 && rnd.Float64() < share {
-		q.leaves = time.Duration(5+rnd.IntN(200)) * time.Millisecond
+	if share := t.cancelShare(); share > 0 && rnd.Float64() < share {
+		q.cancelAfter = time.Duration(5+rnd.IntN(200)) * time.Millisecond
 	}
 	return q
 }
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -22,55 +22,58 @@
 	"github.com/shelfcrank/shelfcrank/platform/platformtest"
 )
 
-// behavior is how an endpoint serves. The zero value answers all requests.
+// behavior holds the faults injected into an endpoint. The zero value injects none.
 type behavior struct {
-	leaving     bool
-	rest        time.Duration // refuses work and asks for rest
-	rateLimit   string        // that it names; empty for none
-	refuse      float64       // share of requests that it refuses
-	fail        float64       // share that it fails
-	loseAnswers float64       // share whose answer breaks off
-	hang        bool
+	leaving     bool          // announces in its responses that it is leaving
+	rest        time.Duration // refuses all requests and asks callers to pause for this long
+	rateLimit   string        // value of the rate limit header; empty for none
+	refuse      float64       // share of requests refused before they run
+	fail        float64       // share of requests answered with status 500
+	loseAnswers float64       // share of responses cut off
+	hang        bool          // requests block until they are canceled
 }
 
-// Times and sizes of endpoints.
+// Service times, stream lengths and concurrency of endpoints.
 const (
-	workTime    = 15 * time.Millisecond // of a short call
-	firstEvent  = 30 * time.Millisecond
-	eventEvery  = 15 * time.Millisecond
-	leastPieces = 3
-	mostPieces  = 40
-	slots       = 16
-	deadlyBody  = "a body that no endpoint bears"
+	callDuration    = 15 * time.Millisecond // service time of a call without a stream
+	firstEventDelay = 30 * time.Millisecond
+	eventInterval   = 15 * time.Millisecond
+	minEvents       = 3
+	maxEvents       = 40
+	slots           = 16
+	crashingBody    = "a body that no endpoint bears"
 )
 
-// pieces returns the number of events that answer a request.
-func pieces(id string) int {
-	return leastPieces + int(xxhash.Sum64String(id)%(mostPieces-leastPieces))
+// eventCount returns the number of events in the response stream of a request, from minEvents to
+// maxEvents-1. It depends on the request ID alone, so that the checker can tell a complete stream
+// from a truncated one.
+func eventCount(id string) int {
+	return minEvents + int(xxhash.Sum64String(id)%(maxEvents-minEvents))
 }
 
-// eventData returns the data of an event of the stream that answers a request.
+// eventData returns the expected data of event n in the response stream of a request.
 func eventData(id string, n int) string { return fmt.Sprintf("%s piece %d", id, n) }
 
-// endpoint is one incarnation of a server of the platform.
+// endpoint simulates one incarnation of an endpoint: an HTTP handler that records each request
+// and injects the faults in behavior.
 type endpoint struct {
 	id      string
 	service string
 	hall    string
-	link    *link // that instances reach it through
+	link    *link // proxy that instances connect to
 	record  *recorder
-	sender  func(request string) string // instance that a request was sent to
-	crashed func(e *endpoint)           // called once it has ended under a request
+	sender  func(request string) string // returns the instance that a request ID was sent to
+	onCrash func(e *endpoint)           // called when a request crashes the endpoint
 
-	server *http.Server
-	ended  atomic.Bool
+	server  *http.Server
+	stopped atomic.Bool
 
 	mu       sync.Mutex
 	behavior behavior // guarded by mu
 	running  int      // guarded by mu
 }
 
-// start listens at an address of its own.
+// start serves on a free loopback port, behind a new link.
 func (e *endpoint) start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,29 +88,29 @@
 	return nil
 }
 
-// end closes all its connections.
-func (e *endpoint) end() {
-	e.ended.Store(true)
+// stop closes the listener, the link and all connections.
+func (e *endpoint) stop() {
+	e.stopped.Store(true)
 	_ = e.server.Close()
 	e.link.close()
 }
 
-// entry returns its entry in the store.
-func (e *endpoint) entry() registry.Endpoint {
+// storeEntry returns the endpoint's registration for the store.
+func (e *endpoint) storeEntry() registry.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return registry.Endpoint{ID: e.id, Name: e.id, Service: e.service, Addr: e.link.addr(), Hall: e.hall, Version: "v1", Slots: slots, Leaving: e.behavior.leaving}
 }
 
-// change changes its behavior.
-func (e *endpoint) change(f func(b *behavior)) {
+// updateBehavior modifies the injected faults under the lock.
+func (e *endpoint) updateBehavior(f func(b *behavior)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(&e.behavior)
 }
 
-// enter takes a slot, if one is free.
-func (e *endpoint) enter() (behavior, bool) {
+// acquireSlot takes a slot if one is free, and returns the present behavior.
+func (e *endpoint) acquireSlot() (behavior, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.running >= slots {
@@ -117,7 +120,7 @@
 	return e.behavior, true
 }
 
-func (e *endpoint) leave() {
+func (e *endpoint) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
@@ -128,37 +131,38 @@
 	in := platformtest.ReadRequest(r.Header)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // it did not arrive whole
+		return // truncated request: not run and not recorded
 	}
 	if in.Expect != e.id {
 		platformtest.SetHead(w.Header(), platformtest.Head{RequestID: in.ID, Instance: e.id})
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	n := e.record.arrive(check.Arrival{
+	n := e.record.arrival(check.Arrival{
 		Request: in.ID, Endpoint: e.id, Service: e.service, At: time.Now(), Method: r.Method, URI: r.RequestURI,
 		BodySum: xxhash.Sum64(body), Account: in.Account, Deadline: in.Deadline,
 	})
-	b, free := e.enter()
+	b, free := e.acquireSlot()
 	if free {
-		defer e.leave()
+		defer e.releaseSlot()
 	}
 	if !free || b.rest > 0 || rand.Float64() < b.refuse {
 		e.refuse(w, in, b)
 		return
 	}
 	c := &call{endpoint: e, arrival: n, in: in, w: w, behavior: b, ctx: r.Context()}
-	c.run(strings.Contains(string(body), deadlyBody))
+	c.run(strings.Contains(string(body), crashingBody))
 }
 
-// refuse turns a request away before it runs.
+// refuse answers 503 and marks the request as not run.
 func (e *endpoint) refuse(w http.ResponseWriter, in platformtest.Incoming, b behavior) {
-	e.say(w.Header(), in, b, platformtest.Head{RequestID: in.ID, NotRun: true, RestFor: b.rest})
+	e.setHead(w.Header(), in, b, platformtest.Head{RequestID: in.ID, NotRun: true, RestFor: b.rest})
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// say writes the head of an answer, with what the endpoint says of itself.
-func (e *endpoint) say(h http.Header, in platformtest.Incoming, b behavior, head platformtest.Head) {
+// setHead sets the response headers, including the state that the endpoint announces (leaving, rate
+// limit, pause), and records that announcement for the checker.
+func (e *endpoint) setHead(h http.Header, in platformtest.Incoming, b behavior, head platformtest.Head) {
 	head.Leaving, head.RateLimit = b.leaving, b.rateLimit
 	head.Load = [3]int{0, 0, slots}
 	platformtest.SetHead(h, head)
@@ -172,37 +176,38 @@
 	}
 }
 
-// call is one request that runs at an endpoint.
+// call is one request running at an endpoint.
 type call struct {
 	endpoint *endpoint
-	arrival  int
+	arrival  int // index for recorder.updateArrival
 	in       platformtest.Incoming
 	w        http.ResponseWriter
 	behavior behavior
 	ctx      context.Context
 }
 
-var errBrokeOff = errors.New("the endpoint broke off")
+var errTruncated = errors.New("response cut off by an injected fault")
 
-// run works on the request until its end, and records that.
+// run executes the request and records how it ended. A crashing request makes the endpoint crash
+// and aborts the connection.
 func (c *call) run(deadly bool) {
-	c.endpoint.record.update(c.arrival, func(a *check.Arrival) { a.Ran = true })
+	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Ran = true })
 	if deadly {
-		c.endpoint.record.update(c.arrival, func(a *check.Arrival) { a.Crashed, a.Broke, a.EndedAt = true, true, time.Now() })
-		go c.endpoint.crashed(c.endpoint)
+		c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Crashed, a.Broke, a.EndedAt = true, true, time.Now() })
+		go c.endpoint.onCrash(c.endpoint)
 		panic(http.ErrAbortHandler)
 	}
-	status, sum, err := c.work()
-	c.endpoint.record.update(c.arrival, func(a *check.Arrival) {
+	status, sum, err := c.answer()
+	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) {
 		a.EndedAt, a.Status, a.AnswerSum = time.Now(), status, sum
-		a.Broke = err != nil && (c.endpoint.ended.Load() || c.ctx.Err() == nil)
+		a.Broke = err != nil && (c.endpoint.stopped.Load() || c.ctx.Err() == nil)
 	})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// wait returns an error if the request is given up within a time.
+// wait sleeps for d. It returns an error if the request is canceled before.
 func (c *call) wait(d time.Duration) error {
 	select {
 	case <-c.ctx.Done():
@@ -212,8 +217,9 @@
 	}
 }
 
-// work answers the request.
-func (c *call) work() (status int, sum uint64, err error) {
+// answer writes the response, subject to the injected faults, and returns its status and the
+// checksum of its body. The checksum of a stream is 0.
+func (c *call) answer() (status int, sum uint64, err error) {
 	if c.behavior.hang {
 		<-c.ctx.Done()
 		return 0, 0, c.ctx.Err()
@@ -221,11 +227,11 @@
 	if c.endpoint.service == engineService {
 		return c.stream()
 	}
-	if err := c.wait(workTime); err != nil {
+	if err := c.wait(callDuration); err != nil {
 		return 0, 0, err
 	}
 	if rand.Float64() < c.behavior.loseAnswers {
-		return 0, 0, errBrokeOff
+		return 0, 0, errTruncated
 	}
 	status = http.StatusOK
 	if rand.Float64() < c.behavior.fail {
@@ -233,52 +239,53 @@
 	}
 	body := fmt.Sprintf("%s answered by %s", c.in.ID, c.endpoint.id)
 	sum = xxhash.Sum64String(body)
-	c.record(status, sum)
-	c.head()
+	c.recordAnswer(status, sum)
+	c.setHead()
 	c.w.WriteHeader(status)
 	_, err = io.WriteString(c.w, body)
 	return status, sum, err
 }
 
-// record records an answer before the caller can see it.
-func (c *call) record(status int, sum uint64) {
-	c.endpoint.record.update(c.arrival, func(a *check.Arrival) { a.Status, a.AnswerSum = status, sum })
+// recordAnswer records the response before any of it is sent, so that the checker knows of each
+// response that a caller may see.
+func (c *call) recordAnswer(status int, sum uint64) {
+	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Status, a.AnswerSum = status, sum })
 }
 
-func (c *call) head() {
-	c.endpoint.say(c.w.Header(), c.in, c.behavior, platformtest.Head{RequestID: c.in.ID, Seal: c.endpoint.id})
+func (c *call) setHead() {
+	c.endpoint.setHead(c.w.Header(), c.in, c.behavior, platformtest.Head{RequestID: c.in.ID, Seal: c.endpoint.id})
 }
 
-// stream answers with events, after the last one that the request names.
+// stream writes server-sent events, starting after the Last-Event-Id of the request.
 func (c *call) stream() (int, uint64, error) {
-	after, _ := strconv.Atoi(c.in.LastEventID) // empty for a new stream
-	if err := c.wait(firstEvent); err != nil {
+	after, _ := strconv.Atoi(c.in.LastEventID) // 0 for a new stream, where it is empty
+	if err := c.wait(firstEventDelay); err != nil {
 		return 0, 0, err
 	}
 	if rand.Float64() < c.behavior.fail {
-		c.record(http.StatusInternalServerError, 0)
-		c.head()
+		c.recordAnswer(http.StatusInternalServerError, 0)
+		c.setHead()
 		c.w.WriteHeader(http.StatusInternalServerError)
 		return http.StatusInternalServerError, 0, nil
 	}
-	all := pieces(c.in.ID)
+	all := eventCount(c.in.ID)
 	breaksAt := all + 1
 	if rand.Float64() < c.behavior.loseAnswers {
 		breaksAt = after + 1 + rand.IntN(all)
 	}
-	c.record(http.StatusOK, 0)
+	c.recordAnswer(http.StatusOK, 0)
 	c.w.Header().Set("Content-Type", "text/event-stream")
-	c.head()
+	c.setHead()
 	flush := http.NewResponseController(c.w)
 	for n := after + 1; n <= all; n++ {
 		if n == breaksAt {
-			return http.StatusOK, 0, errBrokeOff
+			return http.StatusOK, 0, errTruncated
 		}
 		if _, err := fmt.Fprintf(c.w, "id: %d\ndata: %s\n\n", n, eventData(c.in.ID, n)); err != nil {
 			return http.StatusOK, 0, err
 		}
 		_ = flush.Flush()
-		if err := c.wait(eventEvery); err != nil {
+		if err := c.wait(eventInterval); err != nil {
 			return http.StatusOK, 0, err
 		}
 	}
--- a/internal/soak/instances.go
+++ b/internal/soak/instances.go
@@ -20,17 +20,17 @@
 	"github.com/shelfcrank/shelfcrank/internal/settings"
 )
 
-// Ports of an instance, at an address of its own.
+// Ports of an instance. Each instance has its own loopback address.
 const (
 	frontPort = 8000 + iota
 	readyPort
 	peerPort
 	metricsPort
-	storePort // the store as this instance sees it
+	storePort // proxy to the store, for this instance alone
 	cloudPort
 )
 
-// instance is a front instance, whichever process runs it.
+// instance is one front instance. Its process is replaced at each restart.
 type instance struct {
 	name     string
 	addr     netip.Addr
@@ -38,17 +38,18 @@
 	dir      string
 	record   *recorder
 
-	mu          sync.Mutex
-	cmd         *exec.Cmd     // nil while none runs; guarded by mu
-	ended       chan struct{} // closed once the process has ended; guarded by mu
-	expected    bool          // its end was asked for; guarded by mu
-	busy        bool          // a fault strikes it; guarded by mu
-	ready       bool          // as the balancer sees it; guarded by mu
-	missed      int           // questions in a row without a 200; guarded by mu
-	incarnation int           // guarded by mu
+	mu           sync.Mutex
+	cmd          *exec.Cmd     // nil while none runs; guarded by mu
+	exited       chan struct{} // closed once the process has exited; guarded by mu
+	exitExpected bool          // the run has signaled the process to exit; guarded by mu
+	faulted      bool          // reserved for a fault in progress; guarded by mu
+	ready        bool          // the simulated balancer sends it new connections; guarded by mu
+	failedProbes int           // consecutive readiness probes without status 200; guarded by mu
+	incarnation  int           // number of process starts; guarded by mu
 }
 
-// loopback returns an address for the n-th instance of this process.
+// loopback returns the address of the n-th instance. It depends on the process ID, so that
+// concurrent runs rarely share addresses.
 func loopback(n int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(1 + pid%250), byte(pid / 250 % 250), byte(1 + n)})
@@ -69,29 +70,29 @@
 
 func hallOf(n int, s Scenario) string { return fmt.Sprintf("hall-%d", n%s.Halls) }
 
-// at returns an address of the instance.
+// at returns the instance's address with a port.
 func (i *instance) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(i.addr, port) }
 
 func (i *instance) logFile() string { return filepath.Join(i.dir, i.name+".log") }
 
-// removeLog removes the log of an earlier run in the same folder, whose broken invariants are not
-// those of this one.
+// removeLog removes the log that an earlier run left in the same directory. Otherwise the earlier
+// run's invariant violations would be reported again.
 func (i *instance) removeLog() error {
 	if err := os.Remove(i.logFile()); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("log of an earlier run: %w", err)
+		return fmt.Errorf("remove log of an earlier run: %w", err)
 	}
 	return nil
 }
 
-// start starts a process.
+// start writes the settings file and starts a new process of the instance.
 func (i *instance) start() error {
 	file := filepath.Join(i.dir, i.name+".toml")
 	text, err := toml.Marshal(i.settings)
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", i.name, err)
+		return fmt.Errorf("encode settings of %s: %w", i.name, err)
 	}
 	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return fmt.Errorf("settings of %s: %w", i.name, err)
+		return fmt.Errorf("write settings of %s: %w", i.name, err)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -109,29 +110,30 @@
 	}
 	ended := make(chan struct{})
 	i.mu.Lock()
-	i.cmd, i.ended, i.expected = cmd, ended, false
+	i.cmd, i.exited, i.exitExpected = cmd, ended, false
 	i.incarnation++
 	i.mu.Unlock()
 	go i.wait(cmd, ended)
 	return nil
 }
 
-// wait waits for the end of a process, and records one that nobody asked for.
+// wait waits until a process exits, and records an unexpected exit.
 func (i *instance) wait(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	i.mu.Lock()
-	expected := i.expected
+	expected := i.exitExpected
 	if i.cmd == cmd {
 		i.cmd, i.ready = nil, false
 	}
 	i.mu.Unlock()
 	close(ended)
 	if !expected {
-		i.record.exit(i.name, fmt.Sprintf("ended by itself: %v", err))
+		i.record.exit(i.name, fmt.Sprintf("process exited unexpectedly: %v", err))
 	}
 }
 
-// signal sends a signal to the process, if one runs; ends marks one that makes the process end.
+// signal sends a signal to the process, if one is running. Set ends for signals that make the
+// process exit. The returned channel is closed once it has exited.
 func (i *instance) signal(s syscall.Signal, ends bool) (ended <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -140,60 +142,62 @@
 		close(done)
 		return done
 	}
-	i.expected = i.expected || ends
+	i.exitExpected = i.exitExpected || ends
 	_ = i.cmd.Process.Signal(s)
-	return i.ended
+	return i.exited
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits until the process has exited.
 func (i *instance) kill() { <-i.signal(syscall.SIGKILL, true) }
 
-// stop makes a planned stop, and reports one that takes longer than the grace.
+// stop sends SIGTERM. If the process has not exited one second after the grace period, stop
+// records that and kills it.
 func (i *instance) stop(grace time.Duration) {
 	ended := i.signal(syscall.SIGTERM, true)
 	select {
 	case <-ended:
 	case <-time.After(grace + time.Second):
-		i.record.exit(i.name, "was still there at the end of its grace")
+		i.record.exit(i.name, "process did not exit within its grace period after SIGTERM")
 		i.kill()
 	}
 }
 
-// acquire reserves the instance for a fault; one is struck by one at a time.
-func (i *instance) acquire() bool {
+// acquireForFault reserves the instance for one process fault at a time. It returns false if the
+// instance is reserved already.
+func (i *instance) acquireForFault() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.busy {
+	if i.faulted {
 		return false
 	}
-	i.busy = true
+	i.faulted = true
 	return true
 }
 
-func (i *instance) release() {
+func (i *instance) releaseFromFault() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.busy = false
+	i.faulted = false
 }
 
-// process returns the number of the present process, and whether the
-// balancer sends new connections there.
-func (i *instance) process() (incarnation int, ready bool) {
+// status returns the number of process starts so far, and whether the balancer sends the instance
+// new connections.
+func (i *instance) status() (incarnation int, ready bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.incarnation, i.ready
 }
 
-// The balancer's questions.
+// Readiness probes of the simulated balancer.
 const (
-	readyEvery   = time.Second
-	readyTimeout = 500 * time.Millisecond
-	missesToLose = 2
+	probeInterval = time.Second
+	probeTimeout  = 500 * time.Millisecond
+	unreadyAfter  = 2 // failed probes in a row
 )
 
-// watchReady asks whether the instance takes connections until ctx ends.
-func (i *instance) watchReady(ctx context.Context) {
-	client := &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+// probeReadiness probes the readiness port periodically until ctx ends.
+func (i *instance) probeReadiness(ctx context.Context) {
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		ok := false
 		if resp, err := client.Get("http://" + i.at(readyPort).String() + "/"); err == nil {
@@ -202,16 +206,16 @@
 		}
 		i.mu.Lock()
 		if ok {
-			i.ready, i.missed = true, 0
-		} else if i.missed++; i.missed >= missesToLose {
+			i.ready, i.failedProbes = true, 0
+		} else if i.failedProbes++; i.failedProbes >= unreadyAfter {
 			i.ready = false
 		}
 		i.mu.Unlock()
-		sleep(ctx, readyEvery)
+		sleep(ctx, probeInterval)
 	}
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep pauses for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -219,11 +223,11 @@
 	}
 }
 
-// invariantEvent marks the lines that say that a promise was broken.
+// invariantEvent marks the log lines of violated invariants.
 const invariantEvent = `"event":901`
 
-// brokenInvariants records the lines of the log that say so.
-func (i *instance) brokenInvariants() error {
+// recordInvariantViolations records the log lines that report a violated invariant or a panic.
+func (i *instance) recordInvariantViolations() error {
 	lines, err := logLines(i.logFile(), func(line string) bool {
 		return strings.Contains(line, invariantEvent) || strings.HasPrefix(line, "panic:")
 	})
@@ -238,7 +242,7 @@
 
 const maxLogLine = 1 << 20
 
-// logLines returns the lines of a log that match, none if there is no log.
+// logLines returns the matching lines of a log file, and none if the file does not exist.
 func logLines(file string, match func(line string) bool) ([]string, error) {
 	f, err := os.Open(file)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// linkState is how a link carries bytes. The zero value carries them at once.
+// linkState holds the faults injected into a link. The zero value forwards bytes at once.
 type linkState struct {
-	delay     time.Duration // of each piece
-	perSecond int           // bytes; 0 is no limit
-	silentTo  bool          // nothing reaches the target
-	silentOf  bool          // nothing comes back
-	refuses   bool          // new connections are reset
+	delay           time.Duration // added to each chunk
+	bytesPerSecond  int           // 0 means unlimited
+	stallToTarget   bool          // bytes for the target are held back
+	stallFromTarget bool          // bytes from the target are held back
+	refuse          bool          // new connections are reset
 }
 
-// link is a loopback proxy before one address. All that is sent to the address goes through it.
+// link is a TCP proxy on loopback in front of one target address. It delays, throttles, stalls or
+// resets the traffic to that address.
 type link struct {
 	listener net.Listener
 	target   netip.AddrPort
 
 	mu      sync.Mutex
-	state   linkState     // guarded by mu
-	changed chan struct{} // closed and made anew with each change; guarded by mu
-	conns   map[*net.TCPConn]bool
-	closed  bool // guarded by mu
+	state   linkState             // guarded by mu
+	changed chan struct{}         // closed and replaced at each change of state; guarded by mu
+	conns   map[*net.TCPConn]bool // both ends of each proxied connection; guarded by mu
+	closed  bool                  // guarded by mu
 }
 
-// newLink listens at an address, or at any if that has no port, and leads to a target.
+// newLink starts a proxy from listen to target. Port 0 in listen picks a free port.
 func newLink(listen string, target netip.AddrPort) (*link, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -41,10 +42,10 @@
 	return k, nil
 }
 
-// addr returns the address of the near end.
+// addr returns the address that the link listens on.
 func (k *link) addr() netip.AddrPort { return netip.MustParseAddrPort(k.listener.Addr().String()) }
 
-// set changes how the link carries bytes.
+// set replaces the injected faults, also for open connections.
 func (k *link) set(s linkState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -53,13 +54,13 @@
 	k.changed = make(chan struct{})
 }
 
-func (k *link) now() (linkState, <-chan struct{}, bool) {
+func (k *link) current() (linkState, <-chan struct{}, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state, k.changed, k.closed
 }
 
-// close ends the link and all its connections.
+// close stops listening and resets all connections.
 func (k *link) close() {
 	k.mu.Lock()
 	k.closed = true
@@ -70,7 +71,7 @@
 	k.reset()
 }
 
-// reset resets all connections.
+// reset resets all open connections.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -97,23 +98,23 @@
 			return // closed
 		}
 		near := c.(*net.TCPConn)
-		if s, _, _ := k.now(); s.refuses {
+		if s, _, _ := k.current(); s.refuse {
 			_ = near.SetLinger(0)
 			_ = near.Close()
 			continue
 		}
-		go k.carry(near)
+		go k.proxy(near)
 	}
 }
 
 const linkDialTimeout = 2 * time.Second
 
-// carry carries one connection until an end closes.
-func (k *link) carry(near *net.TCPConn) {
+// proxy forwards one connection in both directions until either side closes it.
+func (k *link) proxy(near *net.TCPConn) {
 	defer near.Close()
 	c, err := net.DialTimeout("tcp", k.target.String(), linkDialTimeout)
 	if err != nil {
-		_ = near.SetLinger(0) // as the target refuses
+		_ = near.SetLinger(0) // pass the failed connection on as a reset
 		return
 	}
 	far := c.(*net.TCPConn)
@@ -123,20 +124,20 @@
 		defer k.track(end, false)
 	}
 	done := make(chan struct{}, 2)
-	go func() { k.pump(far, near, func(s linkState) bool { return s.silentTo }); done <- struct{}{} }()
-	go func() { k.pump(near, far, func(s linkState) bool { return s.silentOf }); done <- struct{}{} }()
-	<-done // an end that closed one direction gets no more of the other
+	go func() { k.forward(far, near, func(s linkState) bool { return s.stallToTarget }); done <- struct{}{} }()
+	go func() { k.forward(near, far, func(s linkState) bool { return s.stallFromTarget }); done <- struct{}{} }()
+	<-done // the first direction to end closes both
 }
 
-const linkChunk = 16 << 10
+const linkBufferSize = 16 << 10
 
-// pump carries bytes one way. While that way is silent they wait.
-func (k *link) pump(to, from *net.TCPConn, silent func(linkState) bool) {
-	buf := make([]byte, linkChunk)
+// forward copies bytes in one direction, delayed as the link's state says.
+func (k *link) forward(to, from *net.TCPConn, silent func(linkState) bool) {
+	buf := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !k.hold(n, silent) {
+			if !k.awaitTransfer(n, silent) {
 				return
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -145,18 +146,18 @@
 		}
 		if err != nil {
 			if err != io.EOF {
-				_ = to.SetLinger(0) // a reset is passed on as one
+				_ = to.SetLinger(0) // pass a reset on as a reset
 			}
 			return
 		}
 	}
 }
 
-// hold waits for as long as the link takes for some bytes. It returns false once the link is
-// closed.
-func (k *link) hold(n int, silent func(linkState) bool) bool {
+// awaitTransfer blocks for the time that the link takes to transfer n bytes, and for as long as the
+// direction is stalled. It returns false once the link is closed.
+func (k *link) awaitTransfer(n int, silent func(linkState) bool) bool {
 	for {
-		s, changed, closed := k.now()
+		s, changed, closed := k.current()
 		switch {
 		case closed:
 			return false
@@ -165,8 +166,8 @@
 			continue
 		}
 		wait := s.delay
-		if s.perSecond > 0 {
-			wait += time.Duration(n) * time.Second / time.Duration(s.perSecond)
+		if s.bytesPerSecond > 0 {
+			wait += time.Duration(n) * time.Second / time.Duration(s.bytesPerSecond)
 		}
 		if wait > 0 {
 			time.Sleep(wait)
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// echo returns a link to a server that sends back what it gets.
-func echo(t *testing.T) *link {
+// newEchoLink returns a link to a TCP echo service.
+func newEchoLink(t *testing.T) *link {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,8 +51,8 @@
 	return c
 }
 
-// exchange sends a byte and waits for it to come back.
-func exchange(c net.Conn) error {
+// roundTrip sends a byte through an echo link and waits for it to come back.
+func roundTrip(c net.Conn) error {
 	if _, err := c.Write([]byte{1}); err != nil {
 		return err
 	}
@@ -62,17 +62,17 @@
 
 func TestALinkCarriesBytesBothWays(t *testing.T) {
 	is := is.New(t)
-	c := dial(t, echo(t))
-	is.NoErr(exchange(c))
-	is.NoErr(exchange(c))
+	c := dial(t, newEchoLink(t))
+	is.NoErr(roundTrip(c))
+	is.NoErr(roundTrip(c))
 }
 
 func TestASilentLinkCarriesWhatWaitedOnceItHeals(t *testing.T) {
-	for _, s := range []linkState{{silentTo: true}, {silentOf: true}} {
+	for _, s := range []linkState{{stallToTarget: true}, {stallFromTarget: true}} {
 		is := is.New(t)
-		k := echo(t)
+		k := newEchoLink(t)
 		c := dial(t, k)
-		is.NoErr(exchange(c))
+		is.NoErr(roundTrip(c))
 		k.set(s)
 		_, err := c.Write([]byte{1})
 		is.NoErr(err)
@@ -88,18 +88,18 @@
 
 func TestALinkIsResetAndRefusesConnections(t *testing.T) {
 	is := is.New(t)
-	k := echo(t)
+	k := newEchoLink(t)
 	c := dial(t, k)
-	is.NoErr(exchange(c))
-	k.set(linkState{refuses: true})
+	is.NoErr(roundTrip(c))
+	k.set(linkState{refuse: true})
 	k.reset()
-	is.True(exchange(c) != nil)
+	is.True(roundTrip(c) != nil)
 	again, err := net.Dial("tcp", k.addr().String())
 	if err == nil {
-		err = exchange(again)
+		err = roundTrip(again)
 		_ = again.Close()
 	}
 	is.True(err != nil)
 	k.set(linkState{})
-	is.NoErr(exchange(dial(t, k)))
+	is.NoErr(roundTrip(dial(t, k)))
 }
--- a/internal/soak/plot.go
+++ b/internal/soak/plot.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws how the attempts of each second ended, and when faults struck. The file's ending
-// says its format, png or svg.
+// Plot draws the outcomes of attempts for each second, and the start times of faults. The file's
+// extension selects the format: png or svg.
 func Plot(file string, r *Report) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("seed %d: %d violations", r.Seed, len(r.Violations))
@@ -37,12 +37,12 @@
 		p.Add(line)
 		p.Legend.Add(curve.name, line)
 	}
-	struck := make(plotter.XYs, len(r.Actions))
+	faults := make(plotter.XYs, len(r.Actions))
 	for i, a := range r.Actions {
-		struck[i] = plotter.XY{X: a.At.Seconds()}
+		faults[i] = plotter.XY{X: a.At.Seconds()}
 	}
-	if len(struck) > 0 {
-		marks, err := plotter.NewScatter(struck)
+	if len(faults) > 0 {
+		marks, err := plotter.NewScatter(faults)
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -7,7 +7,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/check"
 )
 
-// recorder collects the history of a run. It is safe for concurrent use.
+// recorder collects the events of a run for the checker. It is safe for concurrent use.
 type recorder struct {
 	mu      sync.Mutex
 	history check.History // guarded by mu
@@ -19,15 +19,15 @@
 	r.history.Attempts = append(r.history.Attempts, a)
 }
 
-// arrive records a request at an endpoint, and returns a number for update.
-func (r *recorder) arrive(a check.Arrival) int {
+// arrival records a request that reached an endpoint, and returns its index for updateArrival.
+func (r *recorder) arrival(a check.Arrival) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Arrivals = append(r.history.Arrivals, a)
 	return len(r.history.Arrivals) - 1
 }
 
-func (r *recorder) update(arrival int, f func(a *check.Arrival)) {
+func (r *recorder) updateArrival(arrival int, f func(a *check.Arrival)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.history.Arrivals[arrival])
@@ -39,7 +39,7 @@
 	r.history.Statements = append(r.history.Statements, s)
 }
 
-func (r *recorder) rate(c check.RateChange) {
+func (r *recorder) rateChange(c check.RateChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.RateChanges = append(r.history.RateChanges, c)
@@ -69,8 +69,9 @@
 	r.history.Exits = append(r.history.Exits, check.Exit{Instance: instance, At: time.Now(), Text: text})
 }
 
-// disrupt records a disruption that begins now, and returns what ends it.
-func (r *recorder) disrupt(instance string, kind Kind, planned bool) (end func()) {
+// beginDisruption records a disruption that starts now: of one instance, or of all if instance is
+// empty. Calling end records its end.
+func (r *recorder) beginDisruption(instance string, kind Kind, planned bool) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := len(r.history.Disruptions)
@@ -83,8 +84,9 @@
 	}
 }
 
-// holdUp records that the link to an endpoint is harmed from now on, and returns what ends it.
-func (r *recorder) holdUp(endpoint string) (end func()) {
+// beginLinkFault records that a fault is active on the link to an endpoint from now on. Calling end
+// records its end.
+func (r *recorder) beginLinkFault(endpoint string) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := len(r.history.HeldUp)
@@ -97,7 +99,7 @@
 	}
 }
 
-// finish returns the history of the run.
+// finish returns the recorded history, with the bounds and accounts to check it against.
 func (r *recorder) finish(bounds check.Bounds, accounts []check.Account) *check.History {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -11,32 +11,34 @@
 	"github.com/shelfcrank/shelfcrank/internal/storetest"
 )
 
-// Times of restores of the store.
+// Timing of backups of the store and of writes after a restore.
 const (
-	backupEvery  = 200 * time.Millisecond
-	oldestBackup = 10 * time.Second
-	rewriteMost  = 2 * time.Second // after a restore, until operators and endpoints have written again
+	backupInterval  = 200 * time.Millisecond
+	maxBackupAge    = 10 * time.Second
+	maxRewriteDelay = 2 * time.Second // from a restore until operators and endpoints repeat their writes
 )
 
-// backup is a copy of the store with its time.
+// backup is a copy of the store and when it was made.
 type backup struct {
 	storetest.Backup
 	at time.Time
 }
 
-// keepBackups copies the store again and again until ctx ends.
-func (w *world) keepBackups(ctx context.Context) {
+// takeBackups copies the store periodically until ctx ends, and drops copies older than
+// maxBackupAge.
+func (w *world) takeBackups(ctx context.Context) {
 	for ctx.Err() == nil {
 		b := backup{w.store.Backup(), time.Now()}
 		w.mu.Lock()
-		w.backups = append(slices.DeleteFunc(w.backups, func(b backup) bool { return time.Since(b.at) > oldestBackup }), b)
+		w.backups = append(slices.DeleteFunc(w.backups, func(b backup) bool { return time.Since(b.at) > maxBackupAge }), b)
 		w.mu.Unlock()
-		sleep(ctx, backupEvery)
+		sleep(ctx, backupInterval)
 	}
 }
 
-// draw returns one of the backups, and makes those that are younger void.
-func (w *world) draw(target uint64) (backup, bool) {
+// drawBackup picks a backup to restore and discards all newer ones, which belong to a history that
+// the restore undoes. It returns false if there is no backup.
+func (w *world) drawBackup(target uint64) (backup, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.backups) == 0 {
@@ -48,34 +50,34 @@
 	return b, true
 }
 
-// writer writes the store as operators and endpoints do, which write again what it lost. It is
-// safe for concurrent use.
+// writer writes to the store for the operator and the endpoints. It remembers the last value of
+// each key, so that writes lost by a restore can be repeated. It is safe for concurrent use.
 type writer struct {
-	store     *storetest.Store
-	reachable sync.RWMutex // held for writing while the store is away
+	store  *storetest.Store
+	outage sync.RWMutex // held for writing during an outage of the store
 
-	mu      sync.Mutex
-	written map[string][]byte // last values; guarded by mu
+	mu         sync.Mutex
+	lastValues map[string][]byte // by key, nil for a deleted key; guarded by mu
 }
 
 func newWriter(s *storetest.Store) *writer {
-	return &writer{store: s, written: make(map[string][]byte)}
+	return &writer{store: s, lastValues: make(map[string][]byte)}
 }
 
-// put writes a key, or drops it if the value is nil. It waits while the store is away.
+// put writes a key, or deletes it if the value is nil. It blocks during an outage of the store.
 func (w *writer) put(key string, value []byte) {
-	w.reachable.RLock()
-	defer w.reachable.RUnlock()
+	w.outage.RLock()
+	defer w.outage.RUnlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.written[key] = value
+	w.lastValues[key] = value
 	w.store.Put(key, value)
 }
 
-// writeAgain writes all last values, but for one key's.
-func (w *writer) writeAgain(but string) {
+// rewriteAll writes the last value of each key again, except for one key. An empty except skips none.
+func (w *writer) rewriteAll(except string) {
 	for _, key := range w.keys() {
-		if key != but {
+		if key != except {
 			w.rewrite(key)
 		}
 	}
@@ -85,35 +87,36 @@
 func (w *writer) keys() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return lo.Keys(w.written)
+	return lo.Keys(w.lastValues)
 }
 
 func (w *writer) rewrite(key string) {
-	w.reachable.RLock()
-	defer w.reachable.RUnlock()
+	w.outage.RLock()
+	defer w.outage.RUnlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.store.Put(key, w.written[key])
+	w.store.Put(key, w.lastValues[key])
 }
 
-// restoreStore takes the store away for all, and brings an older copy back.
+// restoreStore makes the store unreachable for all, restores it from a backup, and repeats the
+// lost writes some time later. In some runs of the fault one endpoint's registration stays lost.
 func (r *run) restoreStore(ctx context.Context, a Action) {
 	w := r.world
-	b, ok := w.draw(a.Target)
+	b, ok := w.drawBackup(a.Target)
 	if !ok {
 		return
 	}
-	defer r.record.disrupt("", a.Kind, false)()
-	w.writer.reachable.Lock()
+	defer r.record.beginDisruption("", a.Kind, false)()
+	w.writer.outage.Lock()
 	w.store.SetFaults("", storetest.Faults{Down: true, Silent: true})
 	sleep(ctx, a.For)
 	w.store.Restore(b.Backup)
 	w.store.ClearFaults("")
-	w.writer.reachable.Unlock()
-	sleep(ctx, time.Duration(a.Target/7%uint64(rewriteMost)))
-	leftOut := ""
-	if e := w.pick(a.Target / 11); e != nil && a.Target/13%4 == 0 {
-		leftOut = w.keyOf(e)
+	w.writer.outage.Unlock()
+	sleep(ctx, time.Duration(a.Target/7%uint64(maxRewriteDelay)))
+	skipped := ""
+	if e := w.pickEndpoint(a.Target / 11); e != nil && a.Target/13%4 == 0 {
+		skipped = w.entryKey(e)
 	}
-	w.writer.writeAgain(leftOut)
+	w.writer.rewriteAll(skipped)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,12 +17,12 @@
 type Options struct {
 	Scenario Scenario
 	Seed     uint64
-	Actions  []Action  // faults to play; nil for those that the seed draws
-	Dir      string    // of settings and logs
-	Progress io.Writer // gets a line each few seconds
+	Actions  []Action  // faults to inject; nil means the schedule drawn from Seed
+	Dir      string    // for settings and log files
+	Progress io.Writer // receives a progress line every few seconds; may be nil
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64            `json:"seed"`
 	Scenario   Scenario          `json:"scenario"`
@@ -34,11 +34,11 @@
 	Refused    int               `json:"refused"`
 	Failed     int               `json:"failed"`
 	Violations []check.Violation `json:"violations"`
-	Began      time.Time         `json:"began"` // of the traffic
-	Logs       map[string]string `json:"-"`     // file by instance
+	Began      time.Time         `json:"began"` // start of the traffic
+	Logs       map[string]string `json:"-"`     // log file by instance name
 }
 
-// run is a run under way.
+// run is the state of a run in progress.
 type run struct {
 	Options
 	record    *recorder
@@ -46,16 +46,17 @@
 	operator  *operator
 	traffic   *traffic
 	instances []*instance
-	faults    sync.WaitGroup
+	faults    sync.WaitGroup // faults in progress and the background goroutines
 }
 
-// Times of a run.
+// Timing of a run.
 const (
-	startWait     = 10 * time.Second // for the instances to be ready
-	progressEvery = 5 * time.Second
+	startTimeout     = 10 * time.Second // for all instances to become ready
+	progressInterval = 5 * time.Second
 )
 
-// Run plays a run to its end, or until ctx ends. Only processes that it started are ended.
+// Run starts the instances and the simulated platform, sends traffic, injects the faults and checks
+// the recorded history. It stops when ctx ends. It terminates only processes that it started.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Actions == nil {
 		o.Actions = Schedule(o.Scenario, o.Seed)
@@ -70,12 +71,12 @@
 	live, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for _, i := range r.instances {
-		go i.watchReady(live)
+		go i.probeReadiness(live)
 	}
 	if err := r.awaitReady(live); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	return r.report(ctx)
 }
 
@@ -96,7 +97,7 @@
 		if n >= o.Scenario.Engines {
 			service = plainService
 		}
-		if err := r.world.add(service, hallOf(n, o.Scenario)); err != nil {
+		if err := r.world.addEndpoint(service, hallOf(n, o.Scenario)); err != nil {
 			return r, err
 		}
 	}
@@ -104,7 +105,7 @@
 		if err := i.removeLog(); err != nil {
 			return r, err
 		}
-		if err := r.world.serve(i); err != nil {
+		if err := r.world.serveInstance(i); err != nil {
 			return r, err
 		}
 	}
@@ -116,7 +117,7 @@
 	return r, nil
 }
 
-// close ends all processes and stand-ins.
+// close kills all instances and shuts the simulated platform down.
 func (r *run) close() {
 	var wait sync.WaitGroup
 	for _, i := range r.instances {
@@ -126,15 +127,15 @@
 	r.world.close()
 }
 
-var errNotReady = errors.New("the instances are not ready")
+var errNotReady = errors.New("not all instances became ready in time")
 
 func (r *run) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		ready := 0
 		for _, i := range r.instances {
-			if _, ok := i.process(); ok {
+			if _, ok := i.status(); ok {
 				ready++
 			}
 		}
@@ -146,20 +147,20 @@
 	return errNotReady
 }
 
-// play sends traffic and strikes with faults.
-func (r *run) play(outer context.Context) {
+// execute sends traffic and injects the scheduled faults until the run's time is over.
+func (r *run) execute(outer context.Context) {
 	ctx, cancel := context.WithTimeout(outer, time.Duration(r.Scenario.Seconds)*time.Second)
 	defer cancel()
 	begin := time.Now()
 	r.faults.Go(func() { r.progress(ctx, begin) })
-	r.faults.Go(func() { r.world.keepBackups(ctx) })
+	r.faults.Go(func() { r.world.takeBackups(ctx) })
 	r.faults.Go(func() {
 		for _, a := range r.Actions {
 			sleep(ctx, time.Until(begin.Add(a.At)))
 			if ctx.Err() != nil {
 				return
 			}
-			r.faults.Go(func() { r.strike(ctx, a) })
+			r.faults.Go(func() { r.inject(ctx, a) })
 		}
 	})
 	r.traffic.run(ctx, outer, r.Scenario.Rate)
@@ -171,7 +172,7 @@
 		return
 	}
 	for {
-		sleep(ctx, progressEvery)
+		sleep(ctx, progressInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -187,14 +188,15 @@
 	return served, refused, failed
 }
 
-// report checks what was recorded.
+// report checks the recorded history and returns the results. It fails if ctx has ended, since the
+// run is then incomplete.
 func (r *run) report(ctx context.Context) (*Report, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	out := &Report{Seed: r.Seed, Scenario: r.Scenario, Actions: r.Actions, Seconds: r.traffic.totals(), Began: r.traffic.began, Logs: make(map[string]string)}
+	out := &Report{Seed: r.Seed, Scenario: r.Scenario, Actions: r.Actions, Seconds: r.traffic.totals(), Began: r.traffic.startedAt, Logs: make(map[string]string)}
 	for _, i := range r.instances {
-		if err := i.brokenInvariants(); err != nil {
+		if err := i.recordInvariantViolations(); err != nil {
 			return nil, err
 		}
 		out.Logs[i.name] = i.logFile()
@@ -206,23 +208,23 @@
 	return out, nil
 }
 
-// TempDir returns a folder for the files of a run, and what removes it.
+// TempDir creates a temporary directory for the files of a run. Calling remove deletes it.
 func TempDir() (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "shelfcrank-soak-")
 	if err != nil {
-		return "", nil, fmt.Errorf("folder of the run: %w", err)
+		return "", nil, fmt.Errorf("create run directory: %w", err)
 	}
 	return dir, func() { _ = os.RemoveAll(dir) }, nil
 }
 
-// storeLate is how long after a write that is not answered it is done.
-const storeLate = time.Second
+// lateWriteDelay is how long after its request a write without a response takes effect.
+const lateWriteDelay = time.Second
 
-// storeFaults are what an instance, or all of them, meets at the store.
+// storeFaults maps kinds of faults to the faults injected into the store, for one instance or all.
 var storeFaults = map[Kind]storetest.Faults{
-	StoreDown:    {Down: true},
-	StoreRefuses: {Busy: true},
-	StoreSlow:    {Slow: 300 * time.Millisecond},
-	StoreLoses:   {LoseNext: 3, Late: storeLate},
-	StoreSilent:  {Silent: true},
+	StoreDown:         {Down: true},
+	StoreRefuses:      {Busy: true},
+	StoreSlow:         {Slow: 300 * time.Millisecond},
+	StoreLosesAnswers: {LoseNext: 3, Late: lateWriteDelay},
+	StoreSilent:       {Silent: true},
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -1,10 +1,10 @@
-// Package soak runs real front instances against stand-ins of the platform, strikes them with
-// overlapping faults, and checks every rule on what callers, endpoints, the store and the
-// cloud saw.
+// Package soak implements the soak test: it runs real front instances against a simulated platform,
+// injects overlapping faults, and checks every rule on the events observed by callers, endpoints,
+// the store and the cloud.
 //
-// Instances are processes of this program on loopback addresses; the stand-ins and the callers
-// run in the process of the soak, so that all times are of one clock. A seed draws the same
-// faults at the same moments; what the processes make of them may differ.
+// Instances are processes of this program on loopback addresses. The simulated platform and the
+// callers run in the process of the soak test, so that all timestamps come from one clock. A seed
+// determines which faults are injected and when; the timing inside the processes still varies.
 package soak
 
 import (
@@ -16,34 +16,34 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Scenario says what a run plays.
+// Scenario configures the size of the deployment, the traffic and the faults of a run.
 type Scenario struct {
 	Seconds   int         `toml:"seconds" json:"seconds"`
 	Instances int         `toml:"instances" json:"instances"`
 	Halls     int         `toml:"halls" json:"halls"`
-	Engines   int         `toml:"engines" json:"engines"`   // endpoints that answer with streams
-	Services  int         `toml:"services" json:"services"` // endpoints of short calls
-	Rate      float64     `toml:"rate" json:"rate"`         // requests a second
+	Engines   int         `toml:"engines" json:"engines"`   // endpoints that respond with streams
+	Services  int         `toml:"services" json:"services"` // endpoints that respond without streams
+	Rate      float64     `toml:"rate" json:"rate"`         // requests per second
 	Faults    []FaultRate `toml:"faults" json:"-"`
 }
 
-// FaultRate is how often and for how long a kind of fault strikes.
+// FaultRate is how often a kind of fault is injected and how long it lasts.
 type FaultRate struct {
 	Kind   Kind    `toml:"kind"`
-	EveryS float64 `toml:"every_s"` // mean time between two of them
-	ForS   float64 `toml:"for_s"`   // mean length; 0 where the kind has none
+	EveryS float64 `toml:"every_s"` // mean time between two injections
+	ForS   float64 `toml:"for_s"`   // mean duration; 0 for kinds without one
 }
 
 //go:embed default.toml
 var defaultScenario []byte
 
-// Default returns the scenario that is played where no other one is given.
+// Default returns the built-in scenario.
 func Default() (Scenario, error) { return Parse(defaultScenario) }
 
-// ErrScenario says that a scenario can't be played.
+// ErrScenario is returned for an invalid scenario.
 var ErrScenario = errors.New("invalid scenario")
 
-// Parse reads a scenario.
+// Parse decodes and validates a scenario in TOML.
 func Parse(text []byte) (Scenario, error) {
 	var s Scenario
 	if err := toml.Unmarshal(text, &s); err != nil {
@@ -53,29 +53,29 @@
 }
 
 const (
-	mostInstances = 200
-	quietEnd      = 15 // seconds without faults at the end of a run
+	maxInstances  = 200
+	faultFreeTail = 15 // seconds without faults at the end of a run, in which the system recovers
 )
 
 func (s *Scenario) check() error {
 	switch {
-	case s.Seconds <= quietEnd:
-		return fmt.Errorf("%w: it has to take more than %d s", ErrScenario, quietEnd)
-	case s.Instances < 1 || s.Instances > mostInstances:
-		return fmt.Errorf("%w: 1 to %d instances", ErrScenario, mostInstances)
+	case s.Seconds <= faultFreeTail:
+		return fmt.Errorf("%w: seconds must be greater than %d", ErrScenario, faultFreeTail)
+	case s.Instances < 1 || s.Instances > maxInstances:
+		return fmt.Errorf("%w: instances must be between 1 and %d", ErrScenario, maxInstances)
 	case s.Halls < 1 || s.Engines < 1 || s.Services < 1 || s.Rate <= 0:
-		return fmt.Errorf("%w: it needs a hall, endpoints of both kinds and requests", ErrScenario)
+		return fmt.Errorf("%w: halls, engines, services and rate must be positive", ErrScenario)
 	}
 	for _, f := range s.Faults {
 		if !slices.Contains(Kinds, f.Kind) || f.EveryS <= 0 || f.ForS < 0 {
-			return fmt.Errorf("%w: fault %q each %v s for %v s", ErrScenario, f.Kind, f.EveryS, f.ForS)
+			return fmt.Errorf("%w: fault %q with every_s = %v, for_s = %v: need a known kind, every_s > 0 and for_s >= 0", ErrScenario, f.Kind, f.EveryS, f.ForS)
 		}
 	}
 	return nil
 }
 
-// Select keeps some kinds of faults: those in only, or all if that is empty, without those in
-// without.
+// Select filters the faults by kind. It keeps the kinds in only, or all kinds if only is empty, and
+// then removes the kinds in without.
 func (s *Scenario) Select(only, without []Kind) {
 	s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f FaultRate) bool {
 		return len(only) > 0 && !slices.Contains(only, f.Kind) || slices.Contains(without, f.Kind)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -42,7 +42,7 @@
 	is.NoErr(err)
 	for seed := range uint64(100) {
 		for _, a := range Schedule(s, seed) {
-			is.True(a.At >= firstFault && a.At+a.For < time.Duration(s.Seconds-quietEnd)*time.Second)
+			is.True(a.At >= earliestFault && a.At+a.For < time.Duration(s.Seconds-faultFreeTail)*time.Second)
 		}
 	}
 }
@@ -77,9 +77,9 @@
 	i := &instance{name: "n", dir: t.TempDir(), record: &recorder{}}
 	is.NoErr(os.WriteFile(i.logFile(), []byte(invariantEvent+"\n"), 0o600))
 	is.NoErr(i.removeLog())
-	is.NoErr(i.brokenInvariants())
+	is.NoErr(i.recordInvariantViolations())
 	is.Equal(len(i.record.history.Exits), 0)
-	is.NoErr(i.removeLog()) // there is none
+	is.NoErr(i.removeLog()) // a missing log is no error
 }
 
 func TestAViolationIsExplained(t *testing.T) {
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -10,68 +10,70 @@
 	"github.com/shelfcrank/shelfcrank/internal/check"
 )
 
-// traffic is all callers together.
+// traffic generates the requests of a run and counts their outcomes.
 type traffic struct {
-	instances []*instance
-	operator  *operator
-	record    *recorder
-	idle      chan *caller
-	began     time.Time
-
-	mu      sync.Mutex
-	rnd     *rand.Rand        // guarded by mu
-	last    int               // number of the last request; guarded by mu
-	senders map[string]string // instance by request; guarded by mu
-	factor  float64           // on the rate; guarded by mu
-	gone    float64           // share of callers that give up; guarded by mu
-	seconds []Second          // guarded by mu
+	instances   []*instance
+	operator    *operator
+	record      *recorder
+	idleCallers chan *caller
+	startedAt   time.Time
+
+	mu             sync.Mutex
+	rnd            *rand.Rand        // guarded by mu
+	lastID         int               // number in the last request ID; guarded by mu
+	senders        map[string]string // instance name by request ID; guarded by mu
+	factor         float64           // multiplies the request rate; guarded by mu
+	cancelFraction float64           // share of requests that their callers cancel; guarded by mu
+	seconds        []Second          // guarded by mu
 }
 
-// Second is how the attempts of one second ended.
+// Second counts the attempts that ended in one second, by outcome.
 type Second struct {
 	Served  int `json:"served"`
-	Refused int `json:"refused"` // with a promise that they did not run
+	Refused int `json:"refused"` // with a status that guarantees that they did not run
 	Failed  int `json:"failed"`
 }
 
-const mostCallers = 256
+const maxCallers = 256
 
 func newTraffic(instances []*instance, o *operator, record *recorder, seed uint64) *traffic {
 	t := &traffic{
-		instances: instances, operator: o, record: record, idle: make(chan *caller, mostCallers),
+		instances: instances, operator: o, record: record, idleCallers: make(chan *caller, maxCallers),
 		rnd: rand.New(rand.NewPCG(seed, 202)), senders: make(map[string]string), factor: 1,
 	}
-	for range mostCallers {
-		t.idle <- &caller{traffic: t}
+	for range maxCallers {
+		t.idleCallers <- &caller{traffic: t}
 	}
 	return t
 }
 
-// run sends requests until ctx ends, and waits for the last ones unless outer ends.
+// run sends requests as a Poisson process until ctx ends, and waits for the requests in flight. If
+// outer ends, they are canceled.
 func (t *traffic) run(ctx, outer context.Context, rate float64) {
 	rnd := rand.New(rand.NewPCG(t.rnd.Uint64(), 1))
-	t.began = time.Now()
+	t.startedAt = time.Now()
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(rnd.ExpFloat64()/(rate*t.rateFactor())*float64(time.Second)))
-		q := t.draw(rnd)
+		q := t.drawRequest(rnd)
 		select {
-		case c := <-t.idle:
+		case c := <-t.idleCallers:
 			wait.Go(func() {
-				c.serve(outer, q)
-				t.idle <- c
+				c.sendWithRetry(outer, q)
+				t.idleCallers <- c
 			})
-		default: // all callers wait for answers
+		default: // all callers are busy: this request is skipped
 		}
 	}
 }
 
-// pick draws an instance for a new connection: one that is ready, or any if few are.
-func (t *traffic) pick() *instance {
+// pickInstance draws an instance for a new connection: one of those that the balancer sees as ready,
+// or any instance if fewer than half are ready.
+func (t *traffic) pickInstance() *instance {
 	var ready []*instance
 	for _, i := range t.instances {
-		if _, ok := i.process(); ok {
+		if _, ok := i.status(); ok {
 			ready = append(ready, i)
 		}
 	}
@@ -86,17 +88,17 @@
 func (t *traffic) newID() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last++
-	return fmt.Sprintf("q%06d", t.last)
+	t.lastID++
+	return fmt.Sprintf("q%06d", t.lastID)
 }
 
-func (t *traffic) sentTo(request, instance string) {
+func (t *traffic) setSender(request, instance string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.senders[request] = instance
 }
 
-// sender returns the instance that a request was sent to.
+// sender returns the name of the instance that a request was sent to.
 func (t *traffic) sender(request string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,24 +117,24 @@
 	t.factor = x
 }
 
-// leaving returns the share of callers that give up.
-func (t *traffic) leaving() float64 {
+// cancelShare returns the share of requests that their callers cancel.
+func (t *traffic) cancelShare() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.gone
+	return t.cancelFraction
 }
 
-func (t *traffic) setLeaving(share float64) {
+func (t *traffic) setCancelShare(share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.gone = share
+	t.cancelFraction = share
 }
 
-// count counts an attempt in the second of its end.
+// count adds an attempt to the second in which it ended.
 func (t *traffic) count(a *check.Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := int(a.EndedAt.Sub(t.began) / time.Second)
+	n := int(a.EndedAt.Sub(t.startedAt) / time.Second)
 	for len(t.seconds) <= n {
 		t.seconds = append(t.seconds, Second{})
 	}
@@ -147,7 +149,7 @@
 	}
 }
 
-// totals returns the seconds so far.
+// totals returns a copy of the counts so far.
 func (t *traffic) totals() []Second {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -22,32 +22,33 @@
 	"github.com/shelfcrank/shelfcrank/platform/platformtest"
 )
 
-// world is the platform around the instances: its store, cloud and endpoints.
+// world simulates the platform that the instances run on: the store, the cloud API and the
+// endpoints.
 type world struct {
-	store    *storetest.Store
-	writer   *writer
-	record   *recorder
-	sender   func(request string) string
-	servers  []*http.Server
-	links    map[string]*link // of instances to the store
-	platform []*link          // to the store and the cloud
-	cloud    *cloud
-
-	mu        sync.Mutex
-	endpoints []*endpoint // that take work; guarded by mu
-	backups   []backup    // guarded by mu
-	started   int         // endpoints so far; guarded by mu
-	ended     bool        // guarded by mu
-	wait      sync.WaitGroup
+	store         *storetest.Store
+	writer        *writer
+	record        *recorder
+	sender        func(request string) string // returns the instance that a request ID was sent to
+	servers       []*http.Server
+	links         map[string]*link // from each instance to the store, by instance name
+	platformLinks []*link          // from all instances to the store and the cloud API
+	cloud         *cloud
+
+	mu               sync.Mutex
+	endpoints        []*endpoint // neither leaving nor crashed; guarded by mu
+	backups          []backup    // oldest first; guarded by mu
+	endpointsStarted int         // number in the last endpoint ID; guarded by mu
+	closed           bool        // guarded by mu
+	wait             sync.WaitGroup
 }
 
-// cloud records the calls of duties.
+// cloud simulates the cloud API. It records the usage that holders of duties report.
 type cloud struct {
 	record *recorder
 	down   atomic.Bool
 }
 
-var errCloudDown = errors.New("the cloud is down")
+var errCloudDown = errors.New("cloud API unavailable")
 
 // Usage implements platformtest.Cloud.
 func (c *cloud) Usage(d duty.Token, window int64, counts map[string]int64) error {
@@ -70,8 +71,8 @@
 	return &world{store: s, writer: newWriter(s), links: make(map[string]*link), record: record, cloud: &cloud{record: record}}
 }
 
-// serve serves the store and the cloud as an instance sees them.
-func (w *world) serve(i *instance) error {
+// serveInstance serves the store and the cloud API to one instance, each behind a link of its own.
+func (w *world) serveInstance(i *instance) error {
 	for _, s := range []struct {
 		port    uint16
 		handler http.Handler
@@ -81,14 +82,14 @@
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return fmt.Errorf("serve the platform for %s: %w", i.name, err)
+			return fmt.Errorf("listen for platform calls of %s: %w", i.name, err)
 		}
 		k, err := newLink(i.at(s.port).String(), netip.MustParseAddrPort(l.Addr().String()))
 		if err != nil {
 			_ = l.Close()
 			return err
 		}
-		w.platform = append(w.platform, k)
+		w.platformLinks = append(w.platformLinks, k)
 		if s.port == storePort {
 			w.links[i.name] = k
 		}
@@ -99,16 +100,16 @@
 	return nil
 }
 
-// close ends all stand-ins.
+// close shuts down the endpoints, links and HTTP servers, and waits for replacements in progress.
 func (w *world) close() {
 	w.mu.Lock()
-	w.ended = true
+	w.closed = true
 	all := slices.Clone(w.endpoints)
 	w.mu.Unlock()
 	for _, e := range all {
-		e.end()
+		e.stop()
 	}
-	for _, k := range w.platform {
+	for _, k := range w.platformLinks {
 		k.close()
 	}
 	for _, s := range w.servers {
@@ -117,25 +118,26 @@
 	w.wait.Wait()
 }
 
-// add starts an endpoint of a service in a hall.
-func (w *world) add(service, hall string) error {
+// addEndpoint starts an endpoint of a service in a hall and registers it in the store. After close it
+// does nothing.
+func (w *world) addEndpoint(service, hall string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.ended {
+	if w.closed {
 		return nil
 	}
-	w.started++
-	e := &endpoint{id: fmt.Sprintf("e-%03d", w.started), service: service, hall: hall, record: w.record, sender: w.sender, crashed: w.crashed}
+	w.endpointsStarted++
+	e := &endpoint{id: fmt.Sprintf("e-%03d", w.endpointsStarted), service: service, hall: hall, record: w.record, sender: w.sender, onCrash: w.crash}
 	if err := e.start(); err != nil {
 		return err
 	}
 	w.endpoints = append(w.endpoints, e)
-	return w.put(e)
+	return w.putEntry(e)
 }
 
-// put writes the entry of an endpoint.
-func (w *world) put(e *endpoint) error {
-	key, value, err := platformtest.ServerEntry(e.entry())
+// putEntry registers an endpoint in the store, or updates its registration.
+func (w *world) putEntry(e *endpoint) error {
+	key, value, err := platformtest.ServerEntry(e.storeEntry())
 	if err != nil {
 		return err
 	}
@@ -143,20 +145,21 @@
 	return nil
 }
 
-// drop drops the entry of an endpoint.
-func (w *world) drop(e *endpoint) { w.writer.put(w.keyOf(e), nil) }
+// dropEntry removes an endpoint's registration from the store.
+func (w *world) dropEntry(e *endpoint) { w.writer.put(w.entryKey(e), nil) }
 
-// keyOf returns the key of an endpoint's entry, "" if it has none.
-func (w *world) keyOf(e *endpoint) string {
-	key, _, err := platformtest.ServerEntry(e.entry())
+// entryKey returns the store key of an endpoint's registration, "" if it can't be encoded.
+func (w *world) entryKey(e *endpoint) string {
+	key, _, err := platformtest.ServerEntry(e.storeEntry())
 	if err != nil {
 		return ""
 	}
 	return key
 }
 
-// pick returns an endpoint that takes work, nil if there are too few to spare one.
-func (w *world) pick(target uint64) *endpoint {
+// pickEndpoint selects an endpoint for a fault. It returns nil if the endpoint is the last one of its
+// service.
+func (w *world) pickEndpoint(target uint64) *endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.endpoints[target%uint64(len(w.endpoints))]
@@ -172,15 +175,15 @@
 	return e
 }
 
-// of returns the endpoints of a service that take work.
-func (w *world) of(service string) []*endpoint {
+// endpointsOf returns the endpoints of a service that are neither leaving nor crashed.
+func (w *world) endpointsOf(service string) []*endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return lo.Filter(w.endpoints, func(e *endpoint, _ int) bool { return e.service == service })
 }
 
-// remove takes an endpoint out of those that take work, and reports whether it was among them.
-func (w *world) remove(e *endpoint) bool {
+// removeEndpoint takes an endpoint off the list of live ones, and reports whether it was on it.
+func (w *world) removeEndpoint(e *endpoint) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := slices.Index(w.endpoints, e)
@@ -191,47 +194,47 @@
 	return true
 }
 
-// Times of endpoints that end.
+// Timing of endpoints that leave or crash.
 const (
-	linger    = 4 * time.Second         // a leaving endpoint serves on for so long
-	heartbeat = 1200 * time.Millisecond // after three of them the entry of a crashed endpoint goes
-	restarts  = 2 * time.Second         // a crashed endpoint is replaced after it
+	drainTime         = 4 * time.Second         // a leaving endpoint keeps its registration this long, and serves as long again without it
+	heartbeatInterval = 1200 * time.Millisecond // the registration of a crashed endpoint is removed after three intervals
+	restartDelay      = 2 * time.Second         // from the crash of an endpoint to the start of its replacement
 )
 
-// leave makes an endpoint leave and starts another one. A quiet one says so in its answers
-// alone.
-func (w *world) leave(ctx context.Context, e *endpoint, quiet bool) error {
-	if !w.remove(e) {
+// retire starts a replacement for an endpoint and makes the endpoint leave. With quiet set the
+// endpoint announces that only in its responses, not in the store.
+func (w *world) retire(ctx context.Context, e *endpoint, quiet bool) error {
+	if !w.removeEndpoint(e) {
 		return nil
 	}
-	if err := w.add(e.service, e.hall); err != nil {
+	if err := w.addEndpoint(e.service, e.hall); err != nil {
 		return err
 	}
-	e.change(func(b *behavior) { b.leaving = true })
+	e.updateBehavior(func(b *behavior) { b.leaving = true })
 	if !quiet {
-		if err := w.put(e); err != nil {
+		if err := w.putEntry(e); err != nil {
 			return err
 		}
 		w.record.leaving(e.id, time.Now())
 	}
-	sleep(ctx, linger)
-	w.drop(e)
+	sleep(ctx, drainTime)
+	w.dropEntry(e)
 	w.record.leaving(e.id, time.Now())
-	sleep(ctx, linger)
-	e.end()
+	sleep(ctx, drainTime)
+	e.stop()
 	return nil
 }
 
-// crashed ends an endpoint without notice and starts another one in its place.
-func (w *world) crashed(e *endpoint) {
-	if !w.remove(e) {
+// crash stops an endpoint without notice and starts a replacement some time later.
+func (w *world) crash(e *endpoint) {
+	if !w.removeEndpoint(e) {
 		return
 	}
-	e.end()
+	e.stop()
 	w.wait.Go(func() {
-		time.Sleep(restarts)
-		_ = w.add(e.service, e.hall) // no address is left: the run goes on with fewer
-		time.Sleep(3*heartbeat - restarts)
-		w.drop(e)
+		time.Sleep(restartDelay)
+		_ = w.addEndpoint(e.service, e.hall) // on an error the run continues with one endpoint fewer
+		time.Sleep(3*heartbeatInterval - restartDelay)
+		w.dropEntry(e)
 	})
 }
