--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Token returns the i-th token of the answer to a prompt. Each answer follows
-// from its prompt, so that a client can check that it got its own and all of it.
+// Token returns the i-th token of the answer to a prompt. Answers are a function of the prompt, so
+// that a client can check that it got the right answer in full.
 func Token(promptHash uint64, i int) string {
 	h := xxhash.Sum64String(strconv.FormatUint(promptHash, 36) + "/" + strconv.Itoa(i))
 	return strconv.FormatUint(h%46656, 36) + " "
 }
 
-// PromptHash returns the hash that answers are derived from.
+// PromptHash returns the hash of a prompt from which Token derives the answer.
 func PromptHash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Answer returns the whole answer of n tokens.
+// Answer returns the first n tokens of the answer to a prompt.
 func Answer(prompt string, n int) string {
 	h := PromptHash(prompt)
 	var b strings.Builder
@@ -27,7 +27,7 @@
 	return b.String()
 }
 
-// ServiceAnswer returns the answer of a service to a call.
+// ServiceAnswer returns the answer of a plain service to a call. It is a function of path and body.
 func ServiceAnswer(path, body string) string {
 	return strconv.FormatUint(xxhash.Sum64String(path+"\n"+body), 36)
 }
--- a/internal/standin/api.go
+++ b/internal/standin/api.go
@@ -9,9 +9,9 @@
 	"github.com/shelfcrank/shelfcrank/internal/platform"
 )
 
-// listLoop publishes the instance list, as late as the settings say, until the
-// world stops.
-func (w *World) listLoop() {
+// publishLoop publishes the instance list at the interval in the settings until the world stops.
+// While the fault ListFrozen is on it publishes nothing.
+func (w *World) publishLoop() {
 	for {
 		w.mu.Lock()
 		frozen := w.faults.ListFrozen
@@ -22,7 +22,7 @@
 		select {
 		case <-w.ctx.Done():
 			return
-		case <-time.After(millis(max(1, w.set.Timing.ListLagMs))):
+		case <-time.After(millis(max(1, w.settings.Timing.ListLagMs))):
 		}
 	}
 }
@@ -30,20 +30,21 @@
 func (w *World) publishList() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.listed = w.listed[:0:0]
+	w.publishedList = w.publishedList[:0:0]
 	for _, i := range w.instances {
 		if i.goneAt.IsZero() {
-			w.listed = append(w.listed, i.Instance)
+			w.publishedList = append(w.publishedList, i.Instance)
 		}
 	}
 }
 
-// platformMux serves the platform's calls and the switches of faults.
+// platformMux serves the platform's API (instance list and reclaim notices) and the control API of
+// the simulation: ground truth, store log, faults, reclaim and kill.
 func (w *World) platformMux() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /instances", func(rw http.ResponseWriter, _ *http.Request) {
 		w.mu.Lock()
-		list := w.listed
+		list := w.publishedList
 		w.mu.Unlock()
 		writeJSON(rw, list)
 	})
@@ -64,7 +65,8 @@
 	return mux
 }
 
-// postReclaim takes ?id=ID or ?hall=HALL[&entries=true], and notice_ms.
+// postReclaim announces the reclaim of one instance or of a hall. Its query parameters are id or
+// hall, entries=true to include the hall's entry instances, and notice_ms.
 func (w *World) postReclaim(rw http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	ms, err := strconv.Atoi(q.Get("notice_ms"))
@@ -80,6 +82,8 @@
 	w.Notice(q.Get("id"), deadline)
 }
 
+// getNotices returns the notices after number after. If there are none yet it waits for up to
+// wait_ms for one.
 func (w *World) getNotices(rw http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
@@ -87,7 +91,7 @@
 	defer limit.Stop()
 	for {
 		w.mu.Lock()
-		all, changed := w.notices, w.noticed
+		all, changed := w.notices, w.noticeAdded
 		w.mu.Unlock()
 		if len(all) > after {
 			writeJSON(rw, platform.Notices{Next: len(all), Notices: all[max(0, after):]})
--- a/internal/standin/deadly.go
+++ b/internal/standin/deadly.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	diesAfter  = 50 * time.Millisecond // of a deadly prompt that an engine begins to read
-	backAfter  = 2 * time.Second
-	deadlyEnds = 3 // engines that may end under one request
+	crashDelay       = 50 * time.Millisecond // from the arrival of a deadly prompt to the crash of the engine
+	restartDelay     = 2 * time.Second       // from the arrival of a deadly prompt to the restart of the engine
+	maxDeadlyCrashes = 3                     // engines that may crash on one request before the system must stop sending it
 )
 
-// dieOf ends an engine that was sent a deadly prompt, and starts it again.
-func (w *World) dieOf(p Place, prompt string) {
+// crashOnDeadlyPrompt schedules a crash and a restart of an engine if its prompt contains the deadly
+// text of the faults.
+func (w *World) crashOnDeadlyPrompt(p Place, prompt string) {
 	deadly := w.Faults().DeadlyPrompt
 	if deadly == "" || !strings.Contains(prompt, deadly) {
 		return
@@ -20,27 +21,27 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.truth.DeadlySent++
-	if w.truth.EndedUnder >= deadlyEnds {
+	if w.truth.EndedUnder >= maxDeadlyCrashes {
 		w.truth.DeadlySentAfter++
 	}
-	if w.dying[p.ID] {
+	if w.crashing[p.ID] {
 		return
 	}
-	w.dying[p.ID] = true
-	w.deaths++
-	incarnation := w.deaths
-	time.AfterFunc(diesAfter, func() {
+	w.crashing[p.ID] = true
+	w.crashes++
+	incarnation := w.crashes
+	time.AfterFunc(crashDelay, func() {
 		w.Kill(p.ID)
 		w.mu.Lock()
 		w.truth.EndedUnder++
 		w.mu.Unlock()
 	})
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(restartDelay, func() {
 		w.mu.Lock()
-		w.dying[p.ID] = false
+		w.crashing[p.ID] = false
 		w.mu.Unlock()
 		if w.ctx.Err() == nil {
-			_ = w.AddEngine(p, incarnation) // its address is free
+			_ = w.AddEngine(p, incarnation) // the engine's address is free again
 		}
 	})
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,46 +17,48 @@
 	"github.com/shelfcrank/shelfcrank/internal/prefix"
 )
 
+// engine simulates a model engine with continuous batching, a prefix cache and KV cache transfer.
 type engine struct {
-	w     *World
-	place Place
-	http  *http.Client
-	wake  chan struct{}
-	ctx   context.Context
-	kill  context.CancelFunc
+	world     *World
+	spec      Place
+	http      *http.Client // fetches KV caches from other engines
+	workAdded chan struct{}
+	ctx       context.Context
+	cancel    context.CancelFunc
 
-	mu       sync.Mutex
-	waiting  []*sequence          // prompt not yet computed; guarded by mu
-	running  []*sequence          // guarded by mu
-	cache    map[uint64]int       // block to the time it was last used; guarded by mu
-	clock    int                  // guarded by mu
-	imported map[string]int       // request to its generated tokens in the cache; guarded by mu
-	kept     map[string]*sequence // the newest sequence of each request, for exports; guarded by mu
-	events   []endpoint.Event     // guarded by mu
-	first    int                  // number of the first event kept; guarded by mu
-	report   endpoint.Report      // as published; guarded by mu
-	exports  chan struct{}        // one export at a time uses the link
+	mu         sync.Mutex
+	waiting    []*sequence          // prompt not fully computed, most urgent first; guarded by mu
+	running    []*sequence          // generating tokens; guarded by mu
+	cache      map[uint64]int       // value of clock at the last use, by block; guarded by mu
+	clock      int                  // logical time, advances at each use of a block; guarded by mu
+	imported   map[string]int       // generated tokens in imported KV caches, by request; guarded by mu
+	sequences  map[string]*sequence // latest sequence of each request, for exports and resumes; guarded by mu
+	events     []endpoint.Event     // guarded by mu
+	firstEvent int                  // number of the first event in events; guarded by mu
+	report     endpoint.Report      // load report as last published; guarded by mu
+	exportSlot chan struct{}        // semaphore: exports share one link and run one at a time
 }
 
+// sequence is one request in an engine's batch or queue.
 type sequence struct {
-	g       endpoint.Generate
-	chain   []uint64
-	tokens  int // prompt tokens
-	left    int // prompt and resumed tokens still to be computed
-	emitted int
-	hash    uint64
-	out     chan endpoint.Chunk
-	ctx     context.Context
+	request      endpoint.Generate
+	chain        []uint64 // prefix blocks of the prompt
+	promptTokens int      // tokens in the prompt
+	remaining    int      // prompt and resumed tokens yet to be computed
+	emitted      int
+	promptHash   uint64
+	chunks       chan endpoint.Chunk
+	ctx          context.Context
 }
 
 func newEngine(w *World, p Place, _ uint64) *engine {
 	e := &engine{
-		w: w, place: p, wake: make(chan struct{}, 1),
-		http:    &http.Client{Transport: netx.Transport(w.siteN(p.ID))}, // closed by loop
-		exports: make(chan struct{}, 1),
-		cache:   make(map[uint64]int), imported: make(map[string]int), kept: make(map[string]*sequence),
+		world: w, spec: p, workAdded: make(chan struct{}, 1),
+		http:       &http.Client{Transport: netx.Transport(w.networkOf(p.ID))}, // closed by runBatch
+		exportSlot: make(chan struct{}, 1),
+		cache:      make(map[uint64]int), imported: make(map[string]int), sequences: make(map[string]*sequence),
 	}
-	e.ctx, e.kill = context.WithCancel(w.ctx)
+	e.ctx, e.cancel = context.WithCancel(w.ctx)
 	return e
 }
 
@@ -70,27 +72,29 @@
 }
 
 const (
-	maxPrompt  = 4 << 20
-	outBuffer  = 64
-	keptLimit  = 4096
-	eventLimit = 20_000
+	maxPrompt    = 4 << 20
+	chunkBuffer  = 64
+	maxSequences = 4096
+	maxEvents    = 20_000
 )
 
+// generate streams the tokens of an answer as server-sent events. If the engine is killed it aborts
+// the connection.
 func (e *engine) generate(rw http.ResponseWriter, r *http.Request) {
 	var g endpoint.Generate
 	if err := json.NewDecoder(http.MaxBytesReader(rw, r.Body, maxPrompt)).Decode(&g); err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.w.arrived(e.place.ID)
-	e.w.announce(e.place.ID, rw.Header())
-	e.w.dieOf(e.place, g.Prompt)
-	s := e.admit(r.Context(), g)
+	e.world.recordArrival(e.spec.ID)
+	e.world.setStateHeaders(e.spec.ID, rw.Header())
+	e.world.crashOnDeadlyPrompt(e.spec, g.Prompt)
+	s := e.enqueue(r.Context(), g)
 	rw.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(rw)
 	for {
 		select {
-		case c := <-s.out:
+		case c := <-s.chunks:
 			b, _ := json.Marshal(c)
 			if _, err := fmt.Fprintf(rw, "data: %s\n\n", b); err != nil {
 				return
@@ -107,60 +111,62 @@
 	}
 }
 
-func (e *engine) admit(ctx context.Context, g endpoint.Generate) *sequence {
-	s := &sequence{g: g, chain: prefix.Chain(e.place.Serves, g.Prompt), tokens: prefix.Tokens(g.Prompt), emitted: g.ResumeFrom, hash: PromptHash(g.Prompt), out: make(chan endpoint.Chunk, outBuffer), ctx: ctx}
+// enqueue adds a request to the queue. Only the tokens that neither the prefix cache nor an imported
+// KV cache holds are left to compute.
+func (e *engine) enqueue(ctx context.Context, g endpoint.Generate) *sequence {
+	s := &sequence{request: g, chain: prefix.Chain(e.spec.Serves, g.Prompt), promptTokens: prefix.Tokens(g.Prompt), emitted: g.ResumeFrom, promptHash: PromptHash(g.Prompt), chunks: make(chan endpoint.Chunk, chunkBuffer), ctx: ctx}
 	e.mu.Lock()
 	held := 0
-	for held < len(s.chain) && e.has(s.chain[held]) {
+	for held < len(s.chain) && e.touchBlock(s.chain[held]) {
 		held++
 	}
 	resumed := max(0, g.ResumeFrom-e.imported[g.Request])
-	if old := e.kept[g.Request]; old != nil && held == len(s.chain) {
+	if old := e.sequences[g.Request]; old != nil && held == len(s.chain) {
 		resumed = max(0, min(resumed, g.ResumeFrom-old.emitted))
 	}
-	s.left = s.tokens - held*prefix.BlockTokens + resumed
-	if s.left <= 0 {
-		s.left = 1
+	s.remaining = s.promptTokens - held*prefix.BlockTokens + resumed
+	if s.remaining <= 0 {
+		s.remaining = 1
 	}
-	e.store(s.chain)
-	if len(e.kept) > keptLimit {
-		clear(e.kept)
+	e.cacheChain(s.chain)
+	if len(e.sequences) > maxSequences {
+		clear(e.sequences)
 		clear(e.imported)
 	}
-	e.kept[g.Request] = s
+	e.sequences[g.Request] = s
 	e.waiting = append(e.waiting, s)
-	slices.SortStableFunc(e.waiting, func(a, b *sequence) int { return b.g.Priority - a.g.Priority })
+	slices.SortStableFunc(e.waiting, func(a, b *sequence) int { return b.request.Priority - a.request.Priority })
 	e.mu.Unlock()
-	e.count(s, held, resumed)
+	e.countPrompt(s, held, resumed)
 	select {
-	case e.wake <- struct{}{}:
+	case e.workAdded <- struct{}{}:
 	default:
 	}
 	return s
 }
 
-// count adds a prompt to the ground truth. A block is recomputed when it is
-// computed though it was computed before for the same session.
-func (e *engine) count(s *sequence, held, resumed int) {
-	session := xxhash.Sum64String(s.g.Session)
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	t := &e.w.truth
-	t.TokensPrompt += s.tokens
-	t.TokensComputed += s.left
+// countPrompt adds a prompt to the ground truth. A block counts as recomputed if it is computed
+// again after it was computed for the same session, on any engine.
+func (e *engine) countPrompt(s *sequence, held, resumed int) {
+	session := xxhash.Sum64String(s.request.Session)
+	e.world.mu.Lock()
+	defer e.world.mu.Unlock()
+	t := &e.world.truth
+	t.TokensPrompt += s.promptTokens
+	t.TokensComputed += s.remaining
 	t.TokensRecomputed += resumed
 	for i, b := range s.chain {
 		key := session ^ b
-		_, before := e.w.computed[key]
+		_, before := e.world.computed[key]
 		if i >= held && before {
 			t.TokensRecomputed += prefix.BlockTokens
 		}
-		e.w.computed[key] = struct{}{}
+		e.world.computed[key] = struct{}{}
 	}
 }
 
-// has and store keep the bounded prefix cache. Callers hold mu.
-func (e *engine) has(b uint64) bool {
+// touchBlock reports whether a block is in the prefix cache, and marks it as used. Callers hold mu.
+func (e *engine) touchBlock(b uint64) bool {
 	if _, ok := e.cache[b]; !ok {
 		return false
 	}
@@ -169,15 +175,18 @@
 	return true
 }
 
-func (e *engine) store(chain []uint64) {
+// cacheChain adds the blocks of a chain to the prefix cache, or marks them as used. If the cache is
+// then over its capacity, the least recently used blocks are evicted down to 90 % of it. Callers
+// hold mu.
+func (e *engine) cacheChain(chain []uint64) {
 	for _, b := range chain {
 		e.clock++
 		if _, ok := e.cache[b]; !ok {
-			e.publish(endpoint.Event{Block: b})
+			e.addEvent(endpoint.Event{Block: b})
 		}
 		e.cache[b] = e.clock
 	}
-	limit := e.w.set.Timing.cacheBlocks()
+	limit := e.world.settings.Timing.cacheBlocks()
 	if len(e.cache) <= limit {
 		return
 	}
@@ -192,29 +201,31 @@
 	slices.SortFunc(all, func(a, b used) int { return a.at - b.at })
 	for _, u := range all[:len(all)-limit*9/10] {
 		delete(e.cache, u.block)
-		e.publish(endpoint.Event{Block: u.block, Evicted: true})
+		e.addEvent(endpoint.Event{Block: u.block, Evicted: true})
 	}
 }
 
-func (e *engine) publish(ev endpoint.Event) {
-	ev.At = time.Now().Add(millis(e.w.set.Timing.EventLagMs))
+// addEvent appends a cache event, which becomes visible after the event lag of the settings. Callers
+// hold mu.
+func (e *engine) addEvent(ev endpoint.Event) {
+	ev.At = time.Now().Add(millis(e.world.settings.Timing.EventLagMs))
 	e.events = append(e.events, ev)
-	if over := len(e.events) - eventLimit; over > 0 {
+	if over := len(e.events) - maxEvents; over > 0 {
 		e.events = slices.Clone(e.events[over:])
-		e.first += over
+		e.firstEvent += over
 	}
 }
 
-// loop is the continuous batch: each step computes a chunk of the waiting
-// prompts, most urgent first, and one token of each running sequence.
-func (e *engine) loop() {
+// runBatch runs the continuous batch until the engine is killed: each step computes a chunk of the
+// waiting prompts, most urgent first, and one token of each running sequence.
+func (e *engine) runBatch() {
 	defer e.http.CloseIdleConnections()
 	var publishAt time.Time
 	for {
 		busy := e.step()
 		if now := time.Now(); !now.Before(publishAt) {
-			e.publishLoad()
-			publishAt = now.Add(millis(e.w.set.Timing.ReportLagMs))
+			e.publishReport()
+			publishAt = now.Add(millis(e.world.settings.Timing.ReportLagMs))
 		}
 		if busy > 0 {
 			select {
@@ -222,34 +233,34 @@
 			case <-e.ctx.Done():
 				return
 			}
-			e.emit()
+			e.emitTokens()
 			continue
 		}
-		e.publishLoad()
+		e.publishReport()
 		select {
-		case <-e.wake:
+		case <-e.workAdded:
 		case <-e.ctx.Done():
 			return
 		}
 	}
 }
 
-// step starts a step and returns how long it takes; 0 when there is no work.
+// step starts a step of the batch and returns its duration, 0 if there is no work.
 func (e *engine) step() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	t := e.w.set.Timing
+	t := e.world.settings.Timing
 	cancelled := func(s *sequence) bool { return s.ctx.Err() != nil }
 	e.waiting = slices.DeleteFunc(e.waiting, cancelled)
 	e.running = slices.DeleteFunc(e.running, cancelled)
 	budget, computed := t.ChunkTokens, 0
 	for len(e.waiting) > 0 && budget > 0 && len(e.running) < t.MaxBatch {
 		s := e.waiting[0]
-		n := min(budget, s.left)
-		s.left -= n
+		n := min(budget, s.remaining)
+		s.remaining -= n
 		budget -= n
 		computed += n
-		if s.left == 0 {
+		if s.remaining == 0 {
 			e.waiting = e.waiting[1:]
 			e.running = append(e.running, s)
 		}
@@ -260,85 +271,86 @@
 	return micros(t.StepBaseUs + t.StepPerSeqUs*len(e.running) + t.PerTokenUs*computed)
 }
 
-// emit gives each running sequence its next token.
-func (e *engine) emit() {
+// emitTokens sends each running sequence its next token. A sequence whose reader is slow gets none.
+func (e *engine) emitTokens() {
 	e.mu.Lock()
 	running := slices.Clone(e.running)
 	e.mu.Unlock()
 	finished := make(map[*sequence]bool)
 	sent := 0
 	for _, s := range running {
-		if s.emitted >= s.g.MaxTokens {
+		if s.emitted >= s.request.MaxTokens {
 			s.send(endpoint.Chunk{Index: s.emitted, Done: true})
 			finished[s] = true
 			continue
 		}
-		if !s.send(endpoint.Chunk{Index: s.emitted, Text: Token(s.hash, s.emitted), Done: s.emitted+1 == s.g.MaxTokens}) {
-			continue // the reader is slow: back-pressure holds this sequence
+		if !s.send(endpoint.Chunk{Index: s.emitted, Text: Token(s.promptHash, s.emitted), Done: s.emitted+1 == s.request.MaxTokens}) {
+			continue // the reader is slow: back-pressure stalls this sequence
 		}
 		sent++
 		e.mu.Lock()
 		s.emitted++
 		e.mu.Unlock()
-		if s.emitted == s.g.MaxTokens {
+		if s.emitted == s.request.MaxTokens {
 			finished[s] = true
 		}
 	}
 	e.mu.Lock()
 	e.running = slices.DeleteFunc(e.running, func(s *sequence) bool { return finished[s] })
 	e.mu.Unlock()
-	e.w.mu.Lock()
-	e.w.truth.TokensOutput += sent
-	e.w.mu.Unlock()
+	e.world.mu.Lock()
+	e.world.truth.TokensOutput += sent
+	e.world.mu.Unlock()
 }
 
 func (s *sequence) send(c endpoint.Chunk) bool {
 	select {
-	case s.out <- c:
+	case s.chunks <- c:
 		return true
 	default:
 		return false
 	}
 }
 
-const queueLevels = 10
+const priorityLevels = 10
 
-func (e *engine) publishLoad() {
+func (e *engine) publishReport() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	t := e.w.set.Timing
-	r := endpoint.Report{Running: len(e.running) + len(e.waiting), QueuedTokens: make([]int, queueLevels), PerTokenUs: t.PerTokenUs, StepUs: t.StepBaseUs + t.StepPerSeqUs*len(e.running)}
+	t := e.world.settings.Timing
+	r := endpoint.Report{Running: len(e.running) + len(e.waiting), QueuedTokens: make([]int, priorityLevels), PerTokenUs: t.PerTokenUs, StepUs: t.StepBaseUs + t.StepPerSeqUs*len(e.running)}
 	for _, s := range e.waiting {
-		r.QueuedTokens[min(max(s.g.Priority, 0), queueLevels-1)] += s.left
+		r.QueuedTokens[min(max(s.request.Priority, 0), priorityLevels-1)] += s.remaining
 	}
 	e.report = r
 }
 
 func (e *engine) getReport(rw http.ResponseWriter, r *http.Request) {
-	e.w.announce(e.place.ID, rw.Header())
+	e.world.setStateHeaders(e.spec.ID, rw.Header())
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	now := time.Now()
 	e.mu.Lock()
 	rep := e.report
-	rep.First = max(since, e.first)
-	i := rep.First - e.first
+	rep.First = max(since, e.firstEvent)
+	i := rep.First - e.firstEvent
 	for ; i < len(e.events) && !e.events[i].At.After(now); i++ {
 		rep.Events = append(rep.Events, e.events[i])
 	}
 	e.mu.Unlock()
-	if e.w.chance(e.w.set.Timing.EventGap) && len(rep.Events) > 0 {
-		rep.First += len(rep.Events) // these events are lost; the reader sees the gap
+	if e.world.chance(e.world.settings.Timing.EventGap) && len(rep.Events) > 0 {
+		rep.First += len(rep.Events) // injected loss of events, which the reader sees as a gap in their numbers
 		rep.Events = nil
 	}
 	writeJSON(rw, rep)
 }
 
+// getExport returns a request's KV cache, after the time that its transfer takes.
 func (e *engine) getExport(rw http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	s := e.kept[r.PathValue("request")]
+	s := e.sequences[r.PathValue("request")]
 	var x endpoint.Export
-	if s != nil && s.left == 0 {
-		x = endpoint.Export{Chain: s.chain, Generated: s.emitted, Tokens: s.tokens + s.emitted}
+	if s != nil && s.remaining == 0 {
+		x = endpoint.Export{Chain: s.chain, Generated: s.emitted, Tokens: s.promptTokens + s.emitted}
 	}
 	e.mu.Unlock()
 	if x.Tokens == 0 {
@@ -346,15 +358,15 @@
 		return
 	}
 	select {
-	case e.exports <- struct{}{}:
-		defer func() { <-e.exports }()
+	case e.exportSlot <- struct{}{}:
+		defer func() { <-e.exportSlot }()
 	case <-e.ctx.Done():
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 		return
 	}
 	select {
-	case <-time.After(time.Duration(float64(x.Tokens) / e.w.set.Timing.KVTokensPerS * float64(time.Second))):
+	case <-time.After(time.Duration(float64(x.Tokens) / e.world.settings.Timing.KVTokensPerS * float64(time.Second))):
 	case <-e.ctx.Done():
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
@@ -363,13 +375,14 @@
 	writeJSON(rw, x)
 }
 
+// postImport fetches a request's KV cache from another engine and adds it to the cache.
 func (e *engine) postImport(rw http.ResponseWriter, r *http.Request) {
 	var m endpoint.Import
 	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if e.w.chance(e.w.Faults().RefuseKVImport) {
+	if e.world.chance(e.world.Faults().RefuseKVImport) {
 		http.Error(rw, "no room", http.StatusServiceUnavailable)
 		return
 	}
@@ -379,16 +392,17 @@
 		return
 	}
 	e.mu.Lock()
-	e.store(x.Chain)
+	e.cacheChain(x.Chain)
 	e.imported[m.Request] = x.Generated
 	e.mu.Unlock()
-	e.w.mu.Lock()
-	e.w.truth.KVMoves++
-	e.w.truth.KVMovedTokens += x.Tokens
-	e.w.mu.Unlock()
+	e.world.mu.Lock()
+	e.world.truth.KVMoves++
+	e.world.truth.KVMovedTokens += x.Tokens
+	e.world.mu.Unlock()
 	writeJSON(rw, x)
 }
 
+// fetch gets an exported KV cache from another engine.
 func (e *engine) fetch(ctx context.Context, m endpoint.Import) (endpoint.Export, error) {
 	var x endpoint.Export
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.From.String()+"/v1/kv/"+m.Request, nil)
@@ -401,7 +415,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return x, fmt.Errorf("export: status %d", resp.StatusCode)
+		return x, fmt.Errorf("export KV cache: status %d", resp.StatusCode)
 	}
 	return x, json.NewDecoder(resp.Body).Decode(&x)
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// store stands in for the platform's key-value service.
+// store simulates the platform's key-value service, with conditional writes, expiry and watches.
 type store struct {
-	w       *World
+	world   *World
 	mu      sync.Mutex
 	keys    map[string]*value // guarded by mu
 	changed chan struct{}     // closed and replaced at each write; guarded by mu
@@ -21,15 +21,16 @@
 	log     []Write           // guarded by mu
 }
 
+// value is the present value of a key.
 type value struct {
-	data  []byte
-	older []byte // the value before this one, for the fault that answers with it
-	rev   uint64
-	prev  uint64
-	lapse time.Time
+	data        []byte
+	previous    []byte // the value before this one, returned by the fault StoreStale
+	rev         uint64
+	previousRev uint64
+	expiresAt   time.Time
 }
 
-// Write is one entry of the store's own log.
+// Write is one entry of the store's log of successful writes.
 type Write struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
@@ -37,14 +38,14 @@
 }
 
 func newStore(w *World) *store {
-	return &store{w: w, keys: make(map[string]*value), changed: make(chan struct{})}
+	return &store{world: w, keys: make(map[string]*value), changed: make(chan struct{})}
 }
 
 const maxValue = 1 << 20
 
 // ServeHTTP implements http.Handler for /kv/KEY.
 func (s *store) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	f := s.w.Faults()
+	f := s.world.Faults()
 	if f.StoreSlowMs > 0 {
 		time.Sleep(millis(f.StoreSlowMs))
 	}
@@ -73,12 +74,14 @@
 		http.Error(rw, "conflict", http.StatusConflict)
 		return
 	}
-	if s.w.loseAnswer() {
+	if s.world.loseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	rw.Header().Set("Revision", strconv.FormatUint(rev, 10))
 }
 
+// write stores a value if the key's present revision is expect, where 0 means that the key does not
+// exist. It returns the new revision, or false on a conflict.
 func (s *store) write(key string, data []byte, expect uint64, lapse time.Time) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,9 +91,9 @@
 		return 0, false
 	}
 	s.rev++
-	v := &value{data: data, rev: s.rev, lapse: lapse}
+	v := &value{data: data, rev: s.rev, expiresAt: lapse}
 	if old != nil {
-		v.older, v.prev = old.data, old.rev
+		v.previous, v.previousRev = old.data, old.rev
 	}
 	s.keys[key] = v
 	s.log = append(s.log, Write{key, s.rev, string(data)})
@@ -99,16 +102,18 @@
 	return s.rev, true
 }
 
-// live returns the value of a key that has not lapsed. Callers hold mu.
+// live returns the value of a key, nil if it has none or the value has expired. Callers hold mu.
 func (s *store) live(key string) *value {
 	v := s.keys[key]
-	if v != nil && !v.lapse.IsZero() && !time.Now().Before(v.lapse) {
+	if v != nil && !v.expiresAt.IsZero() && !time.Now().Before(v.expiresAt) {
 		delete(s.keys, key)
 		return nil
 	}
 	return v
 }
 
+// get returns the value of a key. With wait_ms set it first waits for up to that time for a
+// revision greater than after.
 func (s *store) get(rw http.ResponseWriter, r *http.Request, key string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
@@ -121,14 +126,14 @@
 		s.mu.Lock()
 		v, changed := s.live(key), s.changed
 		s.mu.Unlock()
-		if wait == 0 || (v != nil && v.rev > after) || s.w.Faults().StoreDown {
-			s.answer(rw, v)
+		if wait == 0 || (v != nil && v.rev > after) || s.world.Faults().StoreDown {
+			s.respond(rw, v)
 			return
 		}
 		select {
 		case <-changed:
 		case <-limit.C:
-			s.answer(rw, v)
+			s.respond(rw, v)
 			return
 		case <-r.Context().Done():
 			return
@@ -136,9 +141,9 @@
 	}
 }
 
-func (s *store) answer(rw http.ResponseWriter, v *value) {
-	f := s.w.Faults()
-	if f.StoreDown { // an outage ends the waiting watches too
+func (s *store) respond(rw http.ResponseWriter, v *value) {
+	f := s.world.Faults()
+	if f.StoreDown { // checked again since an outage also ends requests that wait
 		http.Error(rw, "store down", http.StatusServiceUnavailable)
 		return
 	}
@@ -147,15 +152,15 @@
 		return
 	}
 	data, rev := v.data, v.rev
-	if f.StoreOld && v.older != nil {
-		data, rev = v.older, v.prev
+	if f.StoreOld && v.previous != nil {
+		data, rev = v.previous, v.previousRev
 	}
 	rw.Header().Set("Revision", strconv.FormatUint(rev, 10))
 	_, _ = rw.Write(data)
 }
 
-// wake ends the wait of all watches, as an outage does.
-func (s *store) wake() {
+// endWaits makes all waiting requests check the faults again, so that an outage ends them.
+func (s *store) endWaits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
--- a/internal/standin/ratelimit.go
+++ b/internal/standin/ratelimit.go
@@ -9,49 +9,50 @@
 	"github.com/shelfcrank/shelfcrank/internal/endpoint"
 )
 
-// anyInstance stands for all instances: a call does not name its sender.
+// anyInstance is the instance name given to the checker, since calls do not identify their sender.
 const anyInstance = ""
 
-// rateLimitContact is how long after an endpoint named a limit all instances keep to it.
-const rateLimitContact = 3 * time.Second
+// rateLimitDelay is how long after an endpoint advertised a limit all instances must keep to it.
+const rateLimitDelay = 3 * time.Second
 
-// rateLimits are the limits that endpoints name in their answers, and what reached them.
+// rateLimits holds the rate limits that endpoints advertise in their answers, and the checker that
+// verifies that callers keep to them.
 type rateLimits struct {
-	named   map[string]float64 // calls a second, by endpoint
-	checker *check.RateLimits
+	advertised map[string]float64 // calls per second, by endpoint
+	checker    *check.RateLimits
 }
 
 func newRateLimits() rateLimits {
-	return rateLimits{named: make(map[string]float64), checker: check.NewRateLimits(rateLimitContact)}
+	return rateLimits{advertised: make(map[string]float64), checker: check.NewRateLimits(rateLimitDelay)}
 }
 
-// announce names the limit of an endpoint in an answer.
-func (l *rateLimits) announce(id string, h http.Header, now time.Time) {
-	if rate, limited := l.named[id]; limited {
+// setHeader sets the rate limit header of an answer, if the endpoint has a limit.
+func (l *rateLimits) setHeader(id string, h http.Header, now time.Time) {
+	if rate, limited := l.advertised[id]; limited {
 		h.Set(endpoint.RateLimitHeader, strconv.FormatFloat(rate, 'f', -1, 64))
 		l.checker.Passed(id, anyInstance, now)
 	}
 }
 
-// NameRateLimit makes an endpoint name a limit, in calls a second, from now on.
+// SetRateLimit makes an endpoint advertise a rate limit, in calls per second, in its answers.
 func (w *World) NameRateLimit(id string, rate float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limits.named[id] = rate
-	w.limits.checker.Named(id, rate, time.Now())
+	w.rateLimits.advertised[id] = rate
+	w.rateLimits.checker.Named(id, rate, time.Now())
 }
 
-// LiftRateLimit makes an endpoint name no limit any more.
+// ClearRateLimit makes an endpoint stop advertising a rate limit.
 func (w *World) LiftRateLimit(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.limits.named, id)
-	w.limits.checker.Lifted(id, time.Now())
+	delete(w.rateLimits.advertised, id)
+	w.rateLimits.checker.Lifted(id, time.Now())
 }
 
-// RateLimitViolations returns the endpoints that got more than they accept.
+// RateLimitViolations returns the violations of advertised rate limits.
 func (w *World) RateLimitViolations() []check.Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.limits.checker.Violations()
+	return w.rateLimits.checker.Violations()
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,19 +9,19 @@
 	"github.com/shelfcrank/shelfcrank/internal/endpoint"
 )
 
-// service stands in for a plain service. It runs up to a number of calls at
-// once, takes a fixed time for each, and counts the runs of each call.
+// service simulates a plain service. It runs a limited number of calls at once, takes a fixed time
+// for each, and counts the runs of each call.
 type service struct {
-	w       *World
-	place   Place
+	world   *World
+	spec    Place
 	workers chan struct{}
 }
 
 func newService(w *World, p Place) *service {
-	return &service{w: w, place: p, workers: make(chan struct{}, max(1, w.set.Timing.ServiceWorkers))}
+	return &service{world: w, spec: p, workers: make(chan struct{}, max(1, w.settings.Timing.ServiceWorkers))}
 }
 
-// Unrepeatable reports whether a path is one that must not run twice.
+// Unrepeatable reports whether a call to a path must not run twice.
 func Unrepeatable(path string) bool {
 	for _, p := range []string{"unlock", "receipt", "payment"} {
 		if strings.Contains(path, p) {
@@ -35,21 +35,21 @@
 
 // ServeHTTP implements http.Handler.
 func (s *service) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	s.w.announce(s.place.ID, rw.Header())
+	s.world.setStateHeaders(s.spec.ID, rw.Header())
 	if r.URL.Path == "/v1/report" {
 		writeJSON(rw, endpoint.Report{Running: len(s.workers)})
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxBody))
 	if err != nil {
-		return // the call did not arrive whole and is not run
+		return // truncated request: not run
 	}
-	s.w.arrived(s.place.ID)
+	s.world.recordArrival(s.spec.ID)
 	s.workers <- struct{}{}
 	defer func() { <-s.workers }()
 	path := strings.TrimPrefix(r.URL.Path, "/")
-	s.w.ran(path+"\n"+string(body), Unrepeatable(path))
-	time.Sleep(micros(s.w.set.Timing.ServiceUs))
+	s.world.recordRun(path+"\n"+string(body), Unrepeatable(path))
+	time.Sleep(micros(s.world.settings.Timing.ServiceUs))
 	rw.Header().Set("Content-Type", "text/plain")
 	_, _ = io.WriteString(rw, ServiceAnswer(path, string(body)))
 }
--- a/internal/standin/timing.go
+++ b/internal/standin/timing.go
@@ -11,17 +11,18 @@
 	"github.com/shelfcrank/shelfcrank/internal/prefix"
 )
 
-// Timing is the model of a stand-in's speed. The same for all policies.
+// Timing is the performance and price model of the simulated endpoints. It is the same for all
+// policies that are compared.
 type Timing struct {
-	StepBaseUs     int     `toml:"step_base_us"`      // time of one step of the batch, without load
+	StepBaseUs     int     `toml:"step_base_us"`      // duration of a step of an empty batch
 	StepPerSeqUs   int     `toml:"step_per_seq_us"`   // added by each sequence in the batch
 	PerTokenUs     int     `toml:"per_token_us"`      // time to compute one prompt token
-	ChunkTokens    int     `toml:"chunk_tokens"`      // most prompt tokens computed in one step
-	MaxBatch       int     `toml:"max_batch"`         // most sequences in progress
-	CacheTokens    int     `toml:"cache_tokens"`      // prompt tokens the cache holds
-	KVTokensPerS   float64 `toml:"kv_tokens_per_s"`   // speed of a KV cache export, shared by all exports of an engine
+	ChunkTokens    int     `toml:"chunk_tokens"`      // maximum number of prompt tokens computed in one step
+	MaxBatch       int     `toml:"max_batch"`         // maximum number of sequences in progress
+	CacheTokens    int     `toml:"cache_tokens"`      // capacity of the prefix cache
+	KVTokensPerS   float64 `toml:"kv_tokens_per_s"`   // export rate of an engine's KV cache; exports run one at a time
 	ServiceUs      int     `toml:"service_us"`        // time of a service call
-	ServiceWorkers int     `toml:"service_workers"`   // calls a service runs at once
+	ServiceWorkers int     `toml:"service_workers"`   // concurrent calls of a service
 	ReportLagMs    int     `toml:"report_lag_ms"`     // age of a load report
 	EventLagMs     int     `toml:"event_lag_ms"`      // age of a cache event
 	EventGap       float64 `toml:"event_gap"`         // share of cache events that are lost
@@ -31,7 +32,7 @@
 	PriceService   float64 `toml:"price_service"`     // per service instance and hour
 }
 
-// DefaultTiming is used where no file says otherwise.
+// DefaultTiming holds the values for settings that a file leaves out.
 var DefaultTiming = Timing{
 	StepBaseUs: 8000, StepPerSeqUs: 150, PerTokenUs: 60, ChunkTokens: 512, MaxBatch: 64,
 	CacheTokens: 120_000, KVTokensPerS: 60_000, ServiceUs: 2000, ServiceWorkers: 32,
@@ -39,8 +40,8 @@
 	PriceSpot: 1, PriceOnDemand: 3, PriceService: 0.2,
 }
 
-// Place is one instance that the stand-in runs or, for an entry instance,
-// only lists.
+// InstanceSpec describes one instance that the simulation runs or, for an entry instance, only
+// lists.
 type Place struct {
 	ID       string         `toml:"id"`
 	Addr     netip.AddrPort `toml:"address"`
@@ -50,7 +51,7 @@
 	OnDemand bool           `toml:"on_demand"`
 }
 
-// Settings places a stand-in process.
+// Settings configures a process that runs a World.
 type Settings struct {
 	Store   netip.AddrPort `toml:"store_address"`
 	List    netip.AddrPort `toml:"list_address"`
@@ -62,7 +63,7 @@
 	Table   string         `toml:"table"` // JSON of the first table; empty for none
 }
 
-// Load reads the settings of a stand-in process.
+// Load reads Settings from a TOML file. It rejects unknown keys.
 func Load(file string) (Settings, error) {
 	s := Settings{Timing: DefaultTiming}
 	f, err := os.Open(file)
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -1,10 +1,8 @@
-// Package standin has small stand-ins for what the system does not bring
-// itself: the platform's key-value service, instance list and cloud API, model
-// engines and plain services.
+// Package standin simulates the services that the system depends on: the platform's key-value
+// service, instance list and reclaim notices, model engines and plain services.
 //
-// A World runs all of them over one network and keeps the ground truth that
-// reports are judged by. Faults are switched over HTTP or by SetFaults. A
-// World is safe for concurrent use.
+// A World runs all of them on one network and counts what really happened, as the ground truth for
+// reports. Faults are injected over HTTP or with SetFaults. A World is safe for concurrent use.
 package standin
 
 import (
@@ -24,21 +22,21 @@
 	"github.com/shelfcrank/shelfcrank/internal/platform"
 )
 
-// Faults are the faults switched on at a moment.
+// Faults holds the active faults. The zero value has none.
 type Faults struct {
 	StoreDown       bool    `json:"store_down"`
 	StoreSlowMs     int     `json:"store_slow_ms"`
-	StoreLoseAnswer float64 `json:"store_lose_answer"` // share of writes whose answer is lost after they took effect
-	StoreOld        bool    `json:"store_old"`         // reads answer with the value before the newest
-	ListFrozen      bool    `json:"list_frozen"`       // the instance list stays as it is
+	StoreLoseAnswer float64 `json:"store_lose_answer"` // share of writes that take effect but get no response
+	StoreOld        bool    `json:"store_old"`         // reads return the value before the latest
+	ListFrozen      bool    `json:"list_frozen"`       // the instance list is not updated
 	RefuseKVImport  float64 `json:"refuse_kv_import"`  // share of KV cache imports that are refused
-	DeadlyPrompt    string  `json:"deadly_prompt"`     // an engine that is sent a prompt with it ends, and starts again; empty is none
+	DeadlyPrompt    string  `json:"deadly_prompt"`     // an engine that gets a prompt containing this text crashes and restarts; empty for none
 }
 
-// Truth is what really happened, counted where it happened.
+// Truth is the ground truth of a run, counted inside the simulated services.
 type Truth struct {
 	ServiceRuns         int     `json:"service_runs"`
-	Doubled             int     `json:"doubled"` // unrepeatable calls that ran twice
+	Doubled             int     `json:"doubled"` // unrepeatable calls that ran more than once
 	SentToLeavingAfter5 int     `json:"sent_to_leaving_after_5s"`
 	TokensPrompt        int     `json:"tokens_prompt"`
 	TokensComputed      int     `json:"tokens_computed"`
@@ -49,104 +47,105 @@
 	StoreReads          int     `json:"store_reads"`
 	StoreWrites         int     `json:"store_writes"`
 	Cost                float64 `json:"cost"`
-	EndedUnder          int     `json:"ended_under"`       // engines that ended of a deadly prompt
-	DeadlySent          int     `json:"deadly_sent"`       // times that it was sent to one
-	DeadlySentAfter     int     `json:"deadly_sent_after"` // of these, after the third had ended
+	EndedUnder          int     `json:"ended_under"`       // engines that crashed on a deadly prompt
+	DeadlySent          int     `json:"deadly_sent"`       // deadly prompts sent to engines
+	DeadlySentAfter     int     `json:"deadly_sent_after"` // of these, sent after maxDeadlyCrashes engines had crashed
 }
 
-// World is a set of stand-ins.
+// World is a set of simulated services.
 type World struct {
-	net   netx.Network
-	siteN func(site string) netx.Network
-	set   Settings
-	store *store
-	ctx   context.Context
-	stop  context.CancelFunc
-	wait  sync.WaitGroup
-
-	mu        sync.Mutex
-	rnd       *rand.Rand             // guarded by mu
-	faults    Faults                 // guarded by mu
-	truth     Truth                  // guarded by mu
-	instances []*instance            // guarded by mu; the truth about the fleet
-	listed    []platform.Instance    // guarded by mu; what the lagging list shows
-	notices   []platform.Notice      // guarded by mu
-	noticed   chan struct{}          // closed and replaced at each notice; guarded by mu
-	runs      map[uint64]int         // runs of each unrepeatable call; guarded by mu
-	computed  map[uint64]struct{}    // blocks computed before, by session; guarded by mu
-	startedAt time.Time              // when cost began to count
-	servers   map[string]*placeState // guarded by mu
-	dying     map[string]bool        // engines that end of a deadly prompt, or are not back; guarded by mu
-	deaths    uint64                 // of them so far; guarded by mu
-	limits    rateLimits             // that endpoints name; guarded by mu
+	net       netx.Network
+	networkOf func(site string) netx.Network
+	settings  Settings
+	store     *store
+	ctx       context.Context
+	stop      context.CancelFunc
+	wait      sync.WaitGroup
+
+	mu            sync.Mutex
+	rnd           *rand.Rand                 // guarded by mu
+	faults        Faults                     // guarded by mu
+	truth         Truth                      // guarded by mu
+	instances     []*instance                // actual state of the fleet; guarded by mu
+	publishedList []platform.Instance        // instance list as last published; guarded by mu
+	notices       []platform.Notice          // guarded by mu
+	noticeAdded   chan struct{}              // closed and replaced at each notice; guarded by mu
+	runs          map[uint64]int             // runs of each unrepeatable call; guarded by mu
+	computed      map[uint64]struct{}        // blocks ever computed, keyed by block xor session hash; guarded by mu
+	startedAt     time.Time                  // time of Start
+	running       map[string]*runningService // guarded by mu
+	crashing      map[string]bool            // engines about to crash on a deadly prompt or not yet restarted; guarded by mu
+	crashes       uint64                     // incarnation of the last engine restarted after such a crash; guarded by mu
+	rateLimits    rateLimits                 // advertised by endpoints; guarded by mu
 }
 
+// instance is the actual state of a listed instance.
 type instance struct {
 	platform.Instance
-	noticeAt time.Time
-	goneAt   time.Time
+	noticeAt time.Time // when it began to leave; zero if it does not
+	goneAt   time.Time // when it ended; zero while it runs
 	startAt  time.Time
 	price    float64 // per hour
 }
 
-type placeState struct {
+type runningService struct {
 	server *http.Server
 	engine *engine
 }
 
-// New returns a world over a network. site gives the network as seen from an
-// instance; nil means that all are seen alike.
+// New returns a world on a network. site returns the network as seen from an instance; nil means
+// that all instances use n.
 func New(n netx.Network, site func(string) netx.Network, set Settings) *World {
 	if site == nil {
 		site = func(string) netx.Network { return n }
 	}
 	w := &World{
-		net: n, siteN: site, set: set,
-		rnd:     rand.New(rand.NewPCG(set.Seed, set.Seed^0x9e3779b97f4a7c15)),
-		noticed: make(chan struct{}), runs: make(map[uint64]int), computed: make(map[uint64]struct{}),
-		servers: make(map[string]*placeState), dying: make(map[string]bool), limits: newRateLimits(),
+		net: n, networkOf: site, settings: set,
+		rnd:         rand.New(rand.NewPCG(set.Seed, set.Seed^0x9e3779b97f4a7c15)),
+		noticeAdded: make(chan struct{}), runs: make(map[uint64]int), computed: make(map[uint64]struct{}),
+		running: make(map[string]*runningService), crashing: make(map[string]bool), rateLimits: newRateLimits(),
 	}
 	w.store = newStore(w)
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	return w
 }
 
-// Start brings all stand-ins up.
+// Start writes the first table, if any, and starts all simulated services.
 func (w *World) Start() error {
 	w.startedAt = time.Now()
-	if w.set.Table != "" {
-		w.store.write(platform.KeyTable, []byte(w.set.Table), 0, time.Time{})
+	if w.settings.Table != "" {
+		w.store.write(platform.KeyTable, []byte(w.settings.Table), 0, time.Time{})
 	}
-	if err := w.serve("store", w.set.Store, w.store, nil); err != nil {
+	if err := w.serve("store", w.settings.Store, w.store, nil); err != nil {
 		return err
 	}
-	if err := w.serve("list", w.set.List, w.platformMux(), nil); err != nil {
+	if err := w.serve("list", w.settings.List, w.platformMux(), nil); err != nil {
 		return err
 	}
-	for _, p := range w.set.Engine {
+	for _, p := range w.settings.Engine {
 		if err := w.AddEngine(p, 1); err != nil {
 			return err
 		}
 	}
-	for _, p := range w.set.Service {
+	for _, p := range w.settings.Service {
 		if err := w.AddService(p, 1); err != nil {
 			return err
 		}
 	}
-	for _, p := range w.set.Entry {
+	for _, p := range w.settings.Entry {
 		w.AddEntry(p, 1)
 	}
 	w.publishList()
-	w.wait.Go(w.listLoop)
+	w.wait.Go(w.publishLoop)
 	return nil
 }
 
-// Stop ends all stand-ins and waits for them.
+// Stop shuts down all simulated services and waits for their goroutines.
 func (w *World) Stop() {
 	w.stop()
 	w.mu.Lock()
-	servers := make([]*placeState, 0, len(w.servers))
-	for _, s := range w.servers {
+	servers := make([]*runningService, 0, len(w.running))
+	for _, s := range w.running {
 		servers = append(servers, s)
 	}
 	w.mu.Unlock()
@@ -156,54 +155,55 @@
 	w.wait.Wait()
 }
 
+// serve starts an HTTP service and, if e is not nil, the engine behind it.
 func (w *World) serve(id string, addr netip.AddrPort, h http.Handler, e *engine) error {
-	l, err := w.siteN(id).Listen(addr)
+	l, err := w.networkOf(id).Listen(addr)
 	if err != nil {
-		return fmt.Errorf("stand-in %s: %w", id, err)
+		return fmt.Errorf("simulated service %s: listen: %w", id, err)
 	}
 	s := &http.Server{Handler: h, BaseContext: func(net.Listener) context.Context { return w.ctx }}
 	w.mu.Lock()
-	w.servers[id] = &placeState{server: s, engine: e}
+	w.running[id] = &runningService{server: s, engine: e}
 	w.mu.Unlock()
 	w.wait.Go(func() { _ = s.Serve(l) })
 	if e != nil {
-		w.wait.Go(e.loop)
+		w.wait.Go(e.runBatch)
 	}
 	return nil
 }
 
-// AddEngine starts a model engine.
+// AddEngine starts and lists a model engine.
 func (w *World) AddEngine(p Place, incarnation uint64) error {
 	e := newEngine(w, p, incarnation)
 	if err := w.serve(p.ID, p.Addr, e.mux(), e); err != nil {
 		return err
 	}
-	w.add(p, platform.KindModel, incarnation, w.price(p))
+	w.addInstance(p, platform.KindModel, incarnation, w.price(p))
 	return nil
 }
 
-// AddService starts a plain service.
+// AddService starts and lists a plain service.
 func (w *World) AddService(p Place, incarnation uint64) error {
 	if err := w.serve(p.ID, p.Addr, newService(w, p), nil); err != nil {
 		return err
 	}
-	w.add(p, platform.KindService, incarnation, w.set.Timing.PriceService)
+	w.addInstance(p, platform.KindService, incarnation, w.settings.Timing.PriceService)
 	return nil
 }
 
 // AddEntry lists an entry instance; it does not run it.
 func (w *World) AddEntry(p Place, incarnation uint64) {
-	w.add(p, platform.KindEntry, incarnation, 0)
+	w.addInstance(p, platform.KindEntry, incarnation, 0)
 }
 
 func (w *World) price(p Place) float64 {
 	if p.OnDemand {
-		return w.set.Timing.PriceOnDemand
+		return w.settings.Timing.PriceOnDemand
 	}
-	return w.set.Timing.PriceSpot
+	return w.settings.Timing.PriceSpot
 }
 
-func (w *World) add(p Place, kind platform.Kind, incarnation uint64, price float64) {
+func (w *World) addInstance(p Place, kind platform.Kind, incarnation uint64, price float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.instances = append(w.instances, &instance{
@@ -212,21 +212,22 @@
 	})
 }
 
-// Faults returns the faults switched on.
+// Faults returns the active faults.
 func (w *World) Faults() Faults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the active faults.
 func (w *World) SetFaults(f Faults) {
 	w.mu.Lock()
 	w.faults = f
 	w.mu.Unlock()
-	w.store.wake()
+	w.store.endWaits()
 }
 
+// chance returns true with probability p.
 func (w *World) chance(p float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -235,7 +236,7 @@
 
 func (w *World) loseAnswer() bool { return w.chance(w.Faults().StoreLoseAnswer) }
 
-// Truth returns the counts so far, and what the fleet cost so far.
+// Truth returns the counts and the cost of the fleet so far.
 func (w *World) Truth() Truth {
 	w.store.mu.Lock()
 	reads, writes := w.store.reads, w.store.writes
@@ -255,15 +256,15 @@
 	return t
 }
 
-// StoreLog returns the writes the store took, in order.
+// StoreLog returns all successful writes to the store, in order.
 func (w *World) StoreLog() []Write {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	return append([]Write(nil), w.store.log...)
 }
 
-// Notice announces that an instance will be reclaimed at the deadline, and
-// then takes it. Entry instances are only announced.
+// Notice announces that an instance will be reclaimed at the deadline, and kills it then. Entry
+// instances are announced but not killed.
 func (w *World) Notice(id string, deadline time.Time) {
 	w.mu.Lock()
 	var found *instance
@@ -276,8 +277,8 @@
 			w.notices = append(w.notices, platform.Notice{ID: id, Incarnation: i.Incarnation, Deadline: deadline})
 		}
 	}
-	close(w.noticed)
-	w.noticed = make(chan struct{})
+	close(w.noticeAdded)
+	w.noticeAdded = make(chan struct{})
 	w.mu.Unlock()
 	if found == nil || found.Kind == platform.KindEntry {
 		return
@@ -291,8 +292,8 @@
 	})
 }
 
-// LeaveQuietly makes an endpoint leave without a notice and without the list's word: only
-// its answers say so.
+// LeaveQuietly makes an endpoint announce that it leaves in its answers only: there is no notice,
+// and the instance list does not show it.
 func (w *World) LeaveQuietly(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -303,8 +304,8 @@
 	}
 }
 
-// ReclaimHall announces the reclaim of all model engines and services of a
-// hall, and of its entry instances if entries is true.
+// ReclaimHall announces the reclaim of all model engines and services of a hall, and of its entry
+// instances if entries is true. It returns the IDs of the instances.
 func (w *World) ReclaimHall(hall string, deadline time.Time, entries bool) []string {
 	w.mu.Lock()
 	var ids []string
@@ -320,30 +321,30 @@
 	return ids
 }
 
-// Kill ends an instance at once, without notice.
+// Kill terminates an instance at once, without notice.
 func (w *World) Kill(id string) {
 	w.mu.Lock()
-	s := w.servers[id]
-	delete(w.servers, id)
-	w.goneLocked(id)
+	s := w.running[id]
+	delete(w.running, id)
+	w.markGoneLocked(id)
 	w.mu.Unlock()
 	if s == nil {
 		return
 	}
 	if s.engine != nil {
-		s.engine.kill()
+		s.engine.cancel()
 	}
 	_ = s.server.Close()
 }
 
-// Gone notes that an instance which the world does not run itself has ended.
+// MarkGone records that an instance which the world does not run itself has ended.
 func (w *World) Gone(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.goneLocked(id)
+	w.markGoneLocked(id)
 }
 
-func (w *World) goneLocked(id string) {
+func (w *World) markGoneLocked(id string) {
 	for _, i := range w.instances {
 		if i.ID == id && i.goneAt.IsZero() {
 			i.goneAt = time.Now()
@@ -351,7 +352,7 @@
 	}
 }
 
-// leavingFor returns for how long an instance has been leaving.
+// leavingFor returns how long ago an instance began to leave, 0 if it is not leaving.
 func (w *World) leavingFor(id string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -363,23 +364,24 @@
 	return 0
 }
 
+// leavingGrace is how long after an instance began to leave it may still get new work.
 const leavingGrace = 5 * time.Second
 
-// announce sets the headers by which an endpoint says in an answer that it leaves and which rate
-// it accepts.
-func (w *World) announce(id string, h http.Header) {
+// setStateHeaders sets the headers that announce that an endpoint is leaving, and its rate limit.
+func (w *World) setStateHeaders(id string, h http.Header) {
 	if w.leavingFor(id) > 0 {
 		h.Set(endpoint.LeavingHeader, "1")
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limits.announce(id, h, time.Now())
+	w.rateLimits.setHeader(id, h, time.Now())
 }
 
-// arrived counts new work that reached an instance.
-func (w *World) arrived(id string) {
+// recordArrival counts new work at an instance for the rate limit checker, and work that arrived too
+// long after the instance began to leave.
+func (w *World) recordArrival(id string) {
 	w.mu.Lock()
-	w.limits.checker.Arrived(id, anyInstance, time.Now())
+	w.rateLimits.checker.Arrived(id, anyInstance, time.Now())
 	w.mu.Unlock()
 	if w.leavingFor(id) <= leavingGrace {
 		return
@@ -389,8 +391,8 @@
 	w.mu.Unlock()
 }
 
-// ran counts a run of a service call.
-func (w *World) ran(key string, unrepeatable bool) {
+// recordRun counts a run of a service call.
+func (w *World) recordRun(key string, unrepeatable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.truth.ServiceRuns++
@@ -404,7 +406,7 @@
 	}
 }
 
-// Runs returns how often an unrepeatable call ran.
+// Runs returns how often an unrepeatable call has run.
 func (w *World) Runs(path, body string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
