--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -1,8 +1,8 @@
-// Package traffic is the callers' side of experiments: open-loop load from a
-// seed, a balancer in front of the entry instances, and clients that check
-// each answer against its own request.
+// Package traffic is the client side of experiments: a seeded open-loop load generator, a simulated
+// balancer in front of the entry instances, and a client that resumes interrupted answers.
+// Each answer is checked against its request.
 //
-// Types are safe for concurrent use unless they say otherwise.
+// Types are safe for concurrent use unless documented otherwise.
 package traffic
 
 import (
@@ -21,20 +21,20 @@
 	"time"
 )
 
-// Balancer stands in for the platform's balancer: it spreads callers over the
-// entry instances that say they are ready.
+// Balancer simulates the platform's balancer: it picks a random instance for each connection, among
+// the entry instances that report that they are ready.
 type Balancer struct {
 	http *http.Client
 
 	mu    sync.Mutex
 	rnd   *rand.Rand       // guarded by mu
 	all   []netip.AddrPort // guarded by mu
-	ready []netip.AddrPort // guarded by mu
+	ready []netip.AddrPort // as of the last probe; guarded by mu
 }
 
-const probeEvery = 200 * time.Millisecond
+const probeInterval = 200 * time.Millisecond
 
-// NewBalancer returns a balancer over entry instances.
+// NewBalancer returns a balancer for the entry instances at some addresses.
 func NewBalancer(transport http.RoundTripper, entries []netip.AddrPort, seed uint64) *Balancer {
 	return &Balancer{http: &http.Client{Transport: transport, Timeout: time.Second}, rnd: rand.New(rand.NewPCG(seed, 3)), all: entries}
 }
@@ -44,13 +44,13 @@
 	for ctx.Err() == nil {
 		b.Probe(ctx)
 		select {
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Probe asks every instance whether it is ready and returns how many are.
+// Probe checks the readiness of every instance and returns how many are ready.
 func (b *Balancer) Probe(ctx context.Context) int {
 	b.mu.Lock()
 	all := b.all
@@ -86,7 +86,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Pick returns an instance for a new connection.
+// Pick returns a ready instance for a new connection, or any instance if none is ready.
 func (b *Balancer) Pick() netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,30 +97,30 @@
 	return from[b.rnd.IntN(len(from))]
 }
 
-// Call is one request of a caller.
+// Call is one request of a caller: a model call if Model is set, otherwise a service call.
 type Call struct {
 	Class    string
-	Key      string // the account's key
-	IdemKey  string // empty for a call that the caller cannot repeat
+	Key      string // key of the client account
+	IdemKey  string // idempotency key; empty for a call that the caller can't repeat
 	Model    string // empty for a service call
-	User     string // names the conversation
+	User     string // identifies the conversation
 	Prompt   string
-	Max      int
-	Path     string // service and path
-	Body     string
+	Max      int    // maximum number of tokens in the answer
+	Path     string // service and path of a service call
+	Body     string // of a service call
 	Deadline time.Time
 }
 
-// Outcome is how a call ended for its caller.
+// Outcome is the result of a call as its caller sees it.
 type Outcome struct {
-	Whole     bool   // the whole answer arrived
-	Body      string // what arrived
-	Accepted  bool   // the caller heard that the request was accepted
-	Run       string // set when it ended with an error
+	Whole     bool   // the complete answer arrived
+	Body      string // answer as far as it arrived
+	Accepted  bool   // a response with status 200 and a request ID arrived
+	Run       string // the field run of an error response: whether the request ran
 	Status    int
-	First     time.Time // when the first token, or a service's answer, arrived
-	Ended     time.Time
-	Resumes   int
+	First     time.Time // arrival of the first token, or of a service's answer
+	EndedAt   time.Time
+	Resumes   int // connections after the first
 	RequestID string
 	Err       error
 }
@@ -131,53 +131,55 @@
 	balancer *Balancer
 }
 
-// NewClient returns a client.
+// NewClient returns a client that connects to the instances picked by b.
 func NewClient(transport http.RoundTripper, b *Balancer) *Client {
 	return &Client{http: &http.Client{Transport: transport}, balancer: b}
 }
 
 const (
-	resumePause  = 100 * time.Millisecond
-	refusalTries = 8
-	endGrace     = 8 * time.Second // after the deadline, for the final answer
+	resumeDelay      = 100 * time.Millisecond // between two connections of a call
+	maxRefusals      = 8                      // refusals with Retry-After: 0 after which a call is tried again
+	finalAnswerGrace = 8 * time.Second        // how long after the deadline the final answer may arrive
 )
 
-// problem is the part of an error answer that callers act on.
+// problem is the part of an error response that callers act on.
 type problem struct {
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
 	Run    string `json:"run"`
 }
 
-// Do makes a call and comes back for the rest when its connection breaks.
+// Do makes a call. If the connection breaks it connects again, to resume the answer or to repeat
+// the call, until the outcome is final.
 func (c *Client) Do(ctx context.Context, call Call) Outcome {
-	ctx, cancel := context.WithDeadline(ctx, call.Deadline.Add(endGrace))
+	ctx, cancel := context.WithDeadline(ctx, call.Deadline.Add(finalAnswerGrace))
 	defer cancel()
 	var o Outcome
 	var body strings.Builder
 	pos := 0
 	refusals := 0
 	for {
-		final := c.try(ctx, call, &o, &body, &pos, &refusals)
+		final := c.attempt(ctx, call, &o, &body, &pos, &refusals)
 		if final {
-			o.Body, o.Ended = body.String(), time.Now()
+			o.Body, o.EndedAt = body.String(), time.Now()
 			return o
 		}
 		if ctx.Err() != nil {
-			o.Body, o.Ended, o.Err = body.String(), time.Now(), fmt.Errorf("no final answer: %w (%v)", ctx.Err(), o.Err)
+			o.Body, o.EndedAt, o.Err = body.String(), time.Now(), fmt.Errorf("no final answer: %w (last error: %v)", ctx.Err(), o.Err)
 			return o
 		}
 		o.Resumes++
 		select {
-		case <-time.After(resumePause):
+		case <-time.After(resumeDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// try makes one connection. It reports whether the outcome is final.
-func (c *Client) try(ctx context.Context, call Call, o *Outcome, body *strings.Builder, pos *int, refusals *int) bool {
-	req, err := c.request(ctx, call, o, *pos)
+// attempt sends the call, or resumes its stream at pos, over one connection. It reports whether the
+// outcome is final.
+func (c *Client) attempt(ctx context.Context, call Call, o *Outcome, body *strings.Builder, pos *int, refusals *int) bool {
+	req, err := c.newRequest(ctx, call, o, *pos)
 	if err != nil {
 		o.Err = err
 		return true
@@ -185,14 +187,14 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		o.Err = err
-		return !o.Accepted && call.IdemKey == "" && !notSent(err)
+		return !o.Accepted && call.IdemKey == "" && !connectionRefused(err)
 	}
 	defer resp.Body.Close()
 	if id := resp.Header.Get("Request-Id"); id != "" && resp.StatusCode == http.StatusOK {
 		o.RequestID, o.Accepted = id, true
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem+json") {
-		return c.refused(resp, o, refusals)
+		return c.handleRefusal(resp, o, refusals)
 	}
 	if call.Model == "" {
 		b, err := io.ReadAll(resp.Body)
@@ -207,23 +209,25 @@
 	return readStream(resp.Body, o, body, pos)
 }
 
-// notSent reports whether the connection was refused.
-func notSent(err error) bool { return strings.Contains(err.Error(), "connection refused") }
+// connectionRefused reports whether a connection was refused, so that the request was not sent.
+func connectionRefused(err error) bool { return strings.Contains(err.Error(), "connection refused") }
 
-// refused takes an error answer. Being told to ask another instance at once is
-// not final.
-func (c *Client) refused(resp *http.Response, o *Outcome, refusals *int) bool {
+// handleRefusal records an error response and reports whether it is final. A response with
+// Retry-After: 0 is not: the call goes to another instance at once, maxRefusals times at most.
+func (c *Client) handleRefusal(resp *http.Response, o *Outcome, refusals *int) bool {
 	var p problem
 	_ = json.NewDecoder(resp.Body).Decode(&p)
 	o.Status, o.Run, o.Err = resp.StatusCode, p.Run, fmt.Errorf("%d %s: %s", resp.StatusCode, p.Run, p.Detail)
-	if resp.Header.Get("Retry-After") == "0" && *refusals < refusalTries {
+	if resp.Header.Get("Retry-After") == "0" && *refusals < maxRefusals {
 		*refusals++
 		return false
 	}
 	return true
 }
 
-func (c *Client) request(ctx context.Context, call Call, o *Outcome, pos int) (*http.Request, error) {
+// newRequest returns the HTTP request for the next connection of a call: a resume from pos if the
+// model call was accepted before, otherwise the call itself.
+func (c *Client) newRequest(ctx context.Context, call Call, o *Outcome, pos int) (*http.Request, error) {
 	base := "http://" + c.balancer.Pick().String()
 	var req *http.Request
 	var err error
@@ -245,7 +249,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // each connection is the caller's own decision
+	req.GetBody = nil // keeps net/http from repeating the request by itself
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+call.Key)
 	req.Header.Set("Request-Deadline", call.Deadline.Format(time.RFC3339Nano))
@@ -255,6 +259,7 @@
 	return req, nil
 }
 
+// streamEvent is the data of a server-sent event of a completion.
 type streamEvent struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -264,7 +269,8 @@
 
 const maxLine = 1 << 20
 
-// readStream reads server-sent events and reports whether the outcome is final.
+// readStream appends the text of server-sent events to body, counts them in pos, and reports whether
+// the outcome is final.
 func readStream(r io.Reader, o *Outcome, body *strings.Builder, pos *int) bool {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 4096), maxLine)
@@ -284,7 +290,7 @@
 		}
 		if e.Error != nil {
 			o.Status, o.Run, o.Err = e.Error.Status, e.Error.Run, fmt.Errorf("%s: %s", e.Error.Run, e.Error.Detail)
-			// An instance that stops says so; the rest is at another one.
+			// An instance that stops sends this error; the stream can be resumed at another.
 			return !strings.Contains(e.Error.Detail, "resume at another")
 		}
 		if len(e.Choices) > 0 {
@@ -295,6 +301,6 @@
 			*pos++
 		}
 	}
-	o.Err = fmt.Errorf("stream broke at %d: %w", *pos, io.ErrUnexpectedEOF)
+	o.Err = fmt.Errorf("stream ended early after %d events: %w", *pos, io.ErrUnexpectedEOF)
 	return false
 }
--- a/internal/traffic/load.go
+++ b/internal/traffic/load.go
@@ -15,31 +15,33 @@
 	"github.com/shelfcrank/shelfcrank/internal/standin"
 )
 
-// Tally counts how calls ended for their callers, each once.
+// Tally counts the outcomes of calls. Each call with a complete answer counts as Answered or Late, and
+// also as WrongAnswer if the body is wrong. Each other call counts as Failed, and also as one of
+// RefusedNotRun, Unknown and Lost.
 type Tally struct {
 	Sent, Answered, Late, Failed int
-	RefusedNotRun                int // of Failed
-	Unknown                      int // of Failed: may have run
-	Lost, WrongAnswer            int
-	CutByStop                    int // lost or wrong while a planned stop went on
+	RefusedNotRun                int // of Failed: refused before they ran
+	Unknown                      int // of Failed: not accepted, but may have run
+	Lost, WrongAnswer            int // Lost is of Failed: accepted, but no complete answer
+	CutByStop                    int // lost or wrong during a planned stop
 	Resumes                      int
-	Errors                       []string // the first few
+	Errors                       []string // descriptions of the first failures
 
 	ByClass map[string]*ClassTally
-	First   *hdrhistogram.Histogram // microseconds to the first token of model calls
-	Service *hdrhistogram.Histogram // microseconds of service calls
+	First   *hdrhistogram.Histogram // model calls: microseconds to the first token
+	Service *hdrhistogram.Histogram // service calls: microseconds to the answer
 }
 
-// ClassTally counts one class.
+// ClassTally counts the calls of one class.
 type ClassTally struct{ Sent, Late, Failed int }
 
 const (
-	histMax    = 300_000_000
-	histDigits = 3
-	errorsKept = 10
+	maxLatencyUs      = 300_000_000
+	significantDigits = 3
+	maxErrors         = 10
 )
 
-// Load drives seeded open-loop traffic.
+// Load generates open-loop traffic from a seed.
 type Load struct {
 	spec   *deployment.Spec
 	client *Client
@@ -48,37 +50,37 @@
 
 	mu    sync.Mutex
 	tally Tally // guarded by mu
-	wait  sync.WaitGroup
+	calls sync.WaitGroup
 }
 
-// NewLoad returns a load. scale multiplies the rate of a class; nil is 1.
+// NewLoad returns a load generator for the traffic of a deployment. scale returns a factor for the
+// rate of a class; nil means 1 for all.
 func NewLoad(spec *deployment.Spec, c *Client, seed uint64, scale func(class string) float64) *Load {
 	if scale == nil {
 		scale = func(string) float64 { return 1 }
 	}
 	l := &Load{spec: spec, client: c, seed: seed, scale: scale}
 	l.tally.ByClass = make(map[string]*ClassTally)
-	l.tally.First = hdrhistogram.New(1, histMax, histDigits)
-	l.tally.Service = hdrhistogram.New(1, histMax, histDigits)
+	l.tally.First = hdrhistogram.New(1, maxLatencyUs, significantDigits)
+	l.tally.Service = hdrhistogram.New(1, maxLatencyUs, significantDigits)
 	return l
 }
 
-// Run sends traffic until the time is over, waits for all answers and returns
-// the counts.
+// Run starts calls until a point in time, waits for all of them and returns the counts.
 func (l *Load) Run(ctx context.Context, until time.Time) *Tally {
 	var arrivals sync.WaitGroup
 	for i, t := range l.spec.Traffic {
-		arrivals.Go(func() { l.arrive(ctx, t, rand.New(rand.NewPCG(l.seed, uint64(i)+100)), until) })
+		arrivals.Go(func() { l.startCalls(ctx, t, rand.New(rand.NewPCG(l.seed, uint64(i)+100)), until) })
 	}
 	arrivals.Wait()
-	l.wait.Wait()
+	l.calls.Wait()
 	return &l.tally
 }
 
-// arrive starts the calls of one class as a Poisson process.
-func (l *Load) arrive(ctx context.Context, t deployment.Traffic, rnd *rand.Rand, until time.Time) {
+// startCalls starts the calls or conversations of one class as a Poisson process.
+func (l *Load) startCalls(ctx context.Context, t deployment.Traffic, rnd *rand.Rand, until time.Time) {
 	class := l.spec.Class(t.Class)
-	accounts := l.callers()
+	accounts := l.callerAccounts()
 	at := time.Now()
 	turns := max(1, t.Turns)
 	rate := t.PerSecond * l.scale(t.Class) / float64(turns)
@@ -98,9 +100,9 @@
 		acc := accounts[rnd.IntN(len(accounts))]
 		id := fmt.Sprintf("%s-%d-%d", t.Class, l.seed, n)
 		own := rand.New(rand.NewPCG(l.seed^uint64(n)<<8, uint64(len(t.Class))))
-		l.wait.Go(func() {
+		l.calls.Go(func() {
 			if class.Model == "" {
-				l.call(ctx, class, acc.Key, id)
+				l.callService(ctx, class, acc.Key, id)
 				return
 			}
 			l.converse(ctx, class, t, acc.Key, id, own, until)
@@ -108,7 +110,8 @@
 	}
 }
 
-func (l *Load) callers() []deployment.Account {
+// callerAccounts returns the client accounts that send traffic: all but operators.
+func (l *Load) callerAccounts() []deployment.Account {
 	var out []deployment.Account
 	for _, a := range l.spec.Accounts {
 		if !a.Operator {
@@ -122,21 +125,22 @@
 	return time.Now().Add(time.Duration(c.DeadlineMs) * time.Millisecond)
 }
 
-// call makes one service call. Each has an id of its own in its body, so that
-// a second run is seen.
-func (l *Load) call(ctx context.Context, class deployment.Class, key, id string) {
+// callService makes one service call. Its body contains a unique ID, so that the service can detect
+// repeated runs of the same call.
+func (l *Load) callService(ctx context.Context, class deployment.Class, key, id string) {
 	_, path, _ := strings.Cut(class.Match, "/")
 	c := Call{Class: class.Name, Key: key, IdemKey: id, Path: path, Body: "op " + id, Deadline: l.deadline(class)}
 	start := time.Now()
 	o := l.client.Do(ctx, c)
 	_, servicePath, _ := strings.Cut(path, "/")
-	l.count(class, start, o, standin.ServiceAnswer(servicePath, c.Body))
+	l.countOutcome(class, start, o, standin.ServiceAnswer(servicePath, c.Body))
 }
 
+// thinkTime is the mean pause between two turns of a conversation.
 const thinkTime = 300 * time.Millisecond
 
-// converse makes the turns of one conversation; each prompt begins with all
-// that was said before.
+// converse makes the calls of one conversation. Each prompt starts with all previous prompts and
+// answers. It ends early when an answer is incomplete.
 func (l *Load) converse(ctx context.Context, class deployment.Class, t deployment.Traffic, key, id string, rnd *rand.Rand, until time.Time) {
 	prompt := words(rand.New(rand.NewPCG(7, uint64(len(class.Name)))), t.System)
 	for turn := range max(1, t.Turns) {
@@ -149,7 +153,7 @@
 		start := time.Now()
 		o := l.client.Do(ctx, c)
 		want := standin.Answer(c.Prompt, c.Max)
-		l.count(class, start, o, want)
+		l.countOutcome(class, start, o, want)
 		if !o.Whole || ctx.Err() != nil {
 			return
 		}
@@ -161,7 +165,7 @@
 	}
 }
 
-// words returns a text of about n tokens.
+// words returns a random text of about n tokens.
 func words(rnd *rand.Rand, n int) string {
 	var b strings.Builder
 	b.Grow(n * 4)
@@ -172,7 +176,8 @@
 	return b.String()
 }
 
-func (l *Load) count(class deployment.Class, start time.Time, o Outcome, want string) {
+// countOutcome counts a finished call; want is the expected answer.
+func (l *Load) countOutcome(class deployment.Class, start time.Time, o Outcome, want string) {
 	target := time.Duration(class.TargetMs) * time.Millisecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,7 +199,7 @@
 		return
 	case o.Body != want:
 		t.WrongAnswer++
-		l.note("%s wrong answer: got %d bytes, want %d (%s)", class.Name, len(o.Body), len(want), o.RequestID)
+		l.addError("%s wrong answer: got %d bytes, want %d (%s)", class.Name, len(o.Body), len(want), o.RequestID)
 	}
 	if took > target {
 		t.Late++
@@ -206,27 +211,28 @@
 	if class.Model == "" {
 		hist = t.Service
 	}
-	_ = hist.RecordValue(max(1, min(histMax, took.Microseconds())))
+	_ = hist.RecordValue(max(1, min(maxLatencyUs, took.Microseconds())))
 }
 
-// countFailure tells apart the ways to fail. Callers hold mu.
+// countFailure counts a call without a complete answer by what its caller knows. Callers hold mu.
 func (l *Load) countFailure(class deployment.Class, o Outcome) {
 	t := &l.tally
 	switch {
 	case o.Accepted:
 		t.Lost++
-		l.note("%s lost %s after %d resumes: %v", class.Name, o.RequestID, o.Resumes, o.Err)
+		l.addError("%s lost %s after %d resumes: %v", class.Name, o.RequestID, o.Resumes, o.Err)
 	case o.Run == "not_run":
 		t.RefusedNotRun++
-		l.note("%s refused: %v", class.Name, o.Err)
+		l.addError("%s refused: %v", class.Name, o.Err)
 	default:
 		t.Unknown++
-		l.note("%s unknown after %d resumes: %v", class.Name, o.Resumes, o.Err)
+		l.addError("%s unknown after %d resumes: %v", class.Name, o.Resumes, o.Err)
 	}
 }
 
-func (l *Load) note(format string, args ...any) {
-	if len(l.tally.Errors) < errorsKept {
+// addError records the description of a failure, up to maxErrors. Callers hold mu.
+func (l *Load) addError(format string, args ...any) {
+	if len(l.tally.Errors) < maxErrors {
 		l.tally.Errors = append(l.tally.Errors, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 	}
 }
