--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -95,8 +95,8 @@
 	}
 	acc.requestDemand.Add(1, demandWindow, now)
 	acc.tokenDemand.Add(float64(work), demandWindow, now)
-	if a.LimitOpen > 0 && !acc.belowOpenLimit(a.LimitOpen, others) {
-		return Verdict{Limit: table.ColLimitOpen, RetryAt: now.Add(demandWindow)}
+	if a.LimitConcurrent > 0 && !acc.belowOpenLimit(a.LimitConcurrent, others) {
+		return Verdict{Limit: table.ColLimitConcurrent, RetryAt: now.Add(demandWindow)}
 	}
 	if a.LimitRate > 0 {
 		rate := a.LimitRate * share(acc.requestDemand.At(demandWindow, now), others.Rate)
@@ -104,10 +104,10 @@
 			return Verdict{Limit: table.ColLimitRate, RetryAt: at}
 		}
 	}
-	if a.LimitToks > 0 {
-		rate := a.LimitToks * share(acc.tokenDemand.At(demandWindow, now), others.Tokens)
+	if a.LimitTokens > 0 {
+		rate := a.LimitTokens * share(acc.tokenDemand.At(demandWindow, now), others.Tokens)
 		if at, ok := acc.tokens.take(float64(work), rate, now); !ok {
-			return Verdict{Limit: table.ColLimitToks, RetryAt: at}
+			return Verdict{Limit: table.ColLimitTokens, RetryAt: at}
 		}
 	}
 	acc.open++
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -187,7 +187,7 @@
 
 // CloseUnused closes connections that have been idle for too long, and all idle connections to
 // endpoints that are no longer wanted.
-func (c *Client) Tidy(now time.Time, wanted func(endpoint string) bool) {
+func (c *Client) CloseUnused(now time.Time, wanted func(endpoint string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, s := range c.endpoints {
@@ -211,7 +211,7 @@
 
 // CloseIdle closes all idle connections.
 func (c *Client) CloseIdle() {
-	c.Tidy(c.clock.Now(), func(string) bool { return false })
+	c.CloseUnused(c.clock.Now(), func(string) bool { return false })
 }
 
 // Send sends a request and returns the head of the response. An error is a *fault.Error, which
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -201,7 +201,7 @@
 	})
 }
 
-func TestConnectionsToAServerAreBounded(t *testing.T) {
+func TestConnectionsToAnEndpointAreLimited(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, is *is.I) {
 		c, _ := startEndpoint(t, []string{answerTo("1", "one")}, []string{answerTo("2", "two")})
 		first := call("1")
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -29,19 +29,19 @@
 
 // Request holds the properties of a request that the choice depends on.
 type Request struct {
-	Service string
-	Route   string
-	ID      string
-	Engine  bool // whether it goes to model endpoints
-	Tokens  int  // prompt tokens
-	Parts   []Part
-	Avoid   []string // endpoints that were already tried
-	Slots   int      // requests that an endpoint of the service handles at once; 0 if the endpoints state it
-	Once    bool     // the request must not be repeated, so that a failure is final
-	Away    bool     // the home endpoint of its shared prefix is not among the candidates
-	Account string   // client account, if it has a limit
-	Units   float64  // charged to the account's limit; 0 if they were charged for an earlier attempt
-	Trial   bool     // it goes to the version of the service that is on trial
+	Service       string
+	Route         string
+	ID            string
+	Engine        bool // whether it goes to model endpoints
+	Tokens        int  // prompt tokens
+	Parts         []Part
+	Avoid         []string // endpoints that were already tried
+	Slots         int      // requests that an endpoint of the service handles at once; 0 if the endpoints state it
+	NonIdempotent bool     // the request must not be repeated, so that a failure is final
+	HomeElsewhere bool     // the home endpoint of its shared prefix is not among the candidates
+	Account       string   // client account, if it has a limit
+	Units         float64  // charged to the account's limit; 0 if they were charged for an earlier attempt
+	Trial         bool     // it goes to the version of the service that is on trial
 }
 
 // shared returns the number of tokens of the shared prefix, which is all parts but the last, and
@@ -108,7 +108,7 @@
 
 // AffinityKey returns the hash of the shared prefix, or of the request's ID if it has none.
 // Requests with one key are best handled by one endpoint.
-func (r *Request) Subject() uint64 {
+func (r *Request) AffinityKey() uint64 {
 	if shared, hash := r.shared(); shared > 0 {
 		return hash
 	}
@@ -119,7 +119,7 @@
 func Choose(candidates []Candidate, r *Request) Choice {
 	shared, hash := r.shared()
 	home := -1
-	if shared > 0 && !r.Away {
+	if shared > 0 && !r.HomeElsewhere {
 		home = homeOf(candidates, r, hash)
 	}
 	best := Choice{Index: -1, Cost: math.Inf(1)}
@@ -165,7 +165,7 @@
 		cost += float64(fullPenalty) * (1 + v.Open - slots) / slots
 	}
 	penalty := float64(failurePenalty) * v.FailureRate
-	if r.Once {
+	if r.NonIdempotent {
 		penalty *= nonIdempotentFactor
 	}
 	return cost + penalty
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -27,7 +27,7 @@
 	return r
 }
 
-func TestASubjectHasOneHomeAtAllNodes(t *testing.T) {
+func TestAPrefixHasOneHomeAtAllInstances(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	homes := make(map[string]int)
@@ -43,7 +43,7 @@
 	is.Equal(len(homes), 6)
 }
 
-func TestAFullHomeIsLeft(t *testing.T) {
+func TestAFullHomeIsAvoided(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
@@ -57,14 +57,14 @@
 
 // Two hubs offer endpoints for one shared prefix; only one of them has its home. The offer of the
 // other includes the cost of processing the prefix there, until it has done so once.
-func TestASubjectHasNoSecondHome(t *testing.T) {
+func TestAPrefixHasNoSecondHome(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	home, away := NewTracker(), NewTracker()
 	for i := range 4 {
 		at, _ := home.Pick(endpoints(6), prompt(fmt.Sprint("a", i), 8000, "subject"), now)
 		r := prompt(fmt.Sprint("b", i), 8000, "subject")
-		r.Away = true
+		r.HomeElsewhere = true
 		elsewhere, _ := away.Pick(endpoints(6), r, now)
 		if i == 0 {
 			is.True(elsewhere.Uncached > 2*at.Uncached-1000)
@@ -81,17 +81,17 @@
 // prompts there, past their first event, and returns the ticket of the request.
 func homeBesideStreams(tr *Tracker, r *Request, streams, tokens int, now time.Time) *Ticket {
 	first, _ := tr.Pick(endpoints(4), r, now)
-	first.Read(now)
+	first.PromptRead(now)
 	first.Done(Answered, now)
 	for i := range streams {
 		k, _ := tr.Pick([]registry.Endpoint{first.Endpoint}, prompt(fmt.Sprint(i), tokens, ""), now)
-		k.Read(now)
+		k.PromptRead(now)
 	}
 	return first
 }
 
 // The cost of processing cached tokens again is higher than the time that this takes.
-func TestASubjectStaysAtItsHomeBesideSomeStreams(t *testing.T) {
+func TestAPrefixStaysAtItsHomeBesideSomeStreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
@@ -121,9 +121,9 @@
 func measureStreams(tr *Tracker, n int, late bool, now time.Time) {
 	for i := range n {
 		k, _ := tr.Pick(endpoints(1), prompt(fmt.Sprint("seen", i), 100, ""), now)
-		k.Read(now.Add(20 * time.Millisecond))
+		k.PromptRead(now.Add(20 * time.Millisecond))
 		long, _ := tr.Pick(endpoints(1), prompt(fmt.Sprint("long", i), 30_000, ""), now.Add(time.Millisecond))
-		long.Read(now.Add(400 * time.Millisecond))
+		long.PromptRead(now.Add(400 * time.Millisecond))
 		long.Done(Cancelled, now.Add(400*time.Millisecond))
 		k.Streamed(late)
 		k.Done(Answered, now.Add(time.Second))
@@ -162,26 +162,26 @@
 	is.True(risk(5, 5) < 0.1)
 }
 
-func TestADeskGoesByWhatTheNodeLearned(t *testing.T) {
+func TestAdoptedEstimatesReplaceOwnMeasurements(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := NewTracker(), NewTracker()
 	measureStreams(a, 20, true, now)
-	b.Adopt(a.Agreed())
+	b.AdoptEstimates(a.CombinedEstimates())
 	measureStreams(b, 20, false, now)
-	is.Equal(b.Agreed(), a.Agreed())
+	is.Equal(b.CombinedEstimates(), a.CombinedEstimates())
 }
 
-func TestOthersUseCounts(t *testing.T) {
+func TestTheLoadOfOtherInstancesCounts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
-	tr.Apply("n2", Update{Uses: map[string]Use{"s0": {Open: 9, Prompt: 90_000}, "s1": {Open: 9, Prompt: 90_000}}}, now.Add(time.Second), now)
+	tr.Apply("n2", Update{Loads: map[string]Load{"s0": {Open: 9, Prompt: 90_000}, "s1": {Open: 9, Prompt: 90_000}}}, now.Add(time.Second), now)
 	k, _ := tr.Pick(endpoints(3), prompt("a", 1000, ""), now)
 	is.Equal(k.Endpoint.ID, "s2")
 }
 
-func TestTheDemandOfAllNodesCountsUntilItsDeadline(t *testing.T) {
+func TestTheDemandOfAllInstancesCountsUntilItsDeadline(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
@@ -192,20 +192,20 @@
 	is.Equal(tr.FleetDemand("llm", now.Add(7*time.Second)), Demand{})
 }
 
-func TestStreamsHoldPlaces(t *testing.T) {
+func TestStreamsHoldSlots(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
 	r := prompt("a", 100, "")
 	r.Slots = 4
 	k, _ := tr.Pick(endpoints(1), r, now)
-	k.Read(now.Add(time.Second))
+	k.PromptRead(now.Add(time.Second))
 	k.Done(Answered, now.Add(7*time.Second))
 	// Six seconds in one of four slots, averaged over three seconds.
 	is.Equal(tr.Demand(now.Add(7 * time.Second))["llm"].Held, 0.5)
 }
 
-func TestAFailingServerRestsAndIsTriedAgain(t *testing.T) {
+func TestAFailingEndpointIsEjectedAndTriedAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	tr := NewTracker()
@@ -222,7 +222,7 @@
 }
 
 // The load of a request is removed when it ends, whatever its result.
-func TestNothingStaysOnTheWay(t *testing.T) {
+func TestLoadIsRemovedWhenRequestsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := NewTracker()
 		now := time.Unix(1000, 0)
@@ -237,14 +237,14 @@
 		}
 		for _, k := range open {
 			if rapid.Bool().Draw(t, "read") {
-				k.Read(now)
+				k.PromptRead(now)
 			}
 			result := Result(rapid.IntRange(0, 3).Draw(t, "result"))
 			k.Done(result, now)
 			k.Done(result, now) // the second call has no effect
 		}
 		for id, s := range tr.endpoints {
-			if s.load.Open != 0 || s.load.Prompt != 0 || s.load.Holdup > 1e-9 {
+			if s.load.Open != 0 || s.load.Prompt != 0 || s.load.Interference > 1e-9 {
 				t.Fatalf("%s: %+v", id, s.load)
 			}
 		}
@@ -264,7 +264,7 @@
 
 // Many instances with the same reports, seconds old, do not all send to the endpoint that had the
 // least load then.
-func TestStaleUpdatesDoNotHerdRequestsToOnePlainServer(t *testing.T) {
+func TestStaleUpdatesDoNotHerdRequestsToOnePlainEndpoint(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	all := endpoints(5)
@@ -275,9 +275,9 @@
 	for i := range 100 {
 		tr := NewTracker()
 		for round := range 200 {
-			uses := map[string]Use{"s1": {Open: 3}, "s2": {Open: 4}, "s3": {Open: 3}, "s4": {Open: 5}}
+			uses := map[string]Load{"s1": {Open: 3}, "s2": {Open: 4}, "s3": {Open: 3}, "s4": {Open: 5}}
 			at := now.Add(time.Duration(round) * 2 * time.Second)
-			tr.Apply("n", Update{Uses: uses}, at.Add(6*time.Second), at)
+			tr.Apply("n", Update{Loads: uses}, at.Add(6*time.Second), at)
 		}
 		k, _ := tr.Pick(all, &Request{Service: "plain", ID: fmt.Sprint("r", i)}, now.Add(401*time.Second))
 		got[k.Endpoint.ID]++
@@ -287,7 +287,7 @@
 	}
 }
 
-func TestAFullPlainServerIsLeft(t *testing.T) {
+func TestAFullPlainEndpointIsAvoided(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	all := endpoints(2)
--- a/internal/balance/endpoint.go
+++ b/internal/balance/endpoint.go
@@ -22,7 +22,7 @@
 
 // endpointState is the state kept for one endpoint.
 type endpointState struct {
-	load                Use // of this instance's requests
+	load                Load // of this instance's requests
 	slowdown            float64
 	slowdownUpdated     time.Time
 	failureRate         float64
--- a/internal/balance/estimate.go
+++ b/internal/balance/estimate.go
@@ -4,7 +4,7 @@
 
 // Estimate is what an instance has learned about a service's model endpoints.
 type Estimate struct {
-	Pace pace.Opinion
+	Pace pace.WeightedModel
 	Risk float64 // that streams pause for too long beside a long prompt, from 0 to 1
 }
 
@@ -73,7 +73,7 @@
 	if s.adopted {
 		return
 	}
-	models := []pace.Opinion{{Model: s.prefill.Model(), Weight: 1 + s.prefill.Weight()}}
+	models := []pace.WeightedModel{{Model: s.prefill.Model(), Weight: 1 + s.prefill.Weight()}}
 	if d, reported := t.hubEstimates[service]; reported {
 		models = append(models, d.Pace)
 	}
@@ -95,7 +95,7 @@
 	out := make(Estimates)
 	for name, s := range t.services {
 		if s.engine {
-			own := pace.Opinion{Model: s.prefill.Model(), Weight: s.prefill.Weight()}
+			own := pace.WeightedModel{Model: s.prefill.Model(), Weight: s.prefill.Weight()}
 			out[name] = Estimate{pace.Merge(own, t.hubEstimates[name].Pace), s.interference.risk()}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // SetHubEstimates sets what this instance has measured as a hub, from all requests that it placed.
-func (t *Tracker) FromDesk(estimates Estimates) {
+func (t *Tracker) SetHubEstimates(estimates Estimates) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hubEstimates = estimates
@@ -114,19 +114,19 @@
 }
 
 // CombinedEstimates returns the estimates combined over all instances.
-func (t *Tracker) Agreed() Estimates {
+func (t *Tracker) CombinedEstimates() Estimates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(Estimates)
 	for name, s := range t.services {
-		out[name] = Estimate{pace.Opinion{Model: s.pace, Weight: 1}, s.risk}
+		out[name] = Estimate{pace.WeightedModel{Model: s.pace, Weight: 1}, s.risk}
 	}
 	return out
 }
 
 // AdoptEstimates makes this tracker use the estimates of another tracker of the same instance in
 // place of its own.
-func (t *Tracker) Adopt(estimates Estimates) {
+func (t *Tracker) AdoptEstimates(estimates Estimates) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, l := range estimates {
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -45,7 +45,7 @@
 
 // Observer is notified of the progress of a request at its endpoint.
 type Observer interface {
-	Read() // the first event has arrived
+	PromptRead() // the first event has arrived
 	Done(result Result)
 }
 
@@ -53,10 +53,10 @@
 func (k *Ticket) Observe(o Observer) { k.observers = append(k.observers, o) }
 
 // MarkReached records that the request reached the endpoint, or may have.
-func (k *Ticket) Arrive() { k.arrived = true }
+func (k *Ticket) MarkReached() { k.arrived = true }
 
 // Reached reports whether the request has reached the endpoint, as far as is known.
-func (k *Ticket) Arrived() bool { return k.arrived }
+func (k *Ticket) Reached() bool { return k.arrived }
 
 // Event records an event of the response stream.
 func (k *Ticket) Event(now time.Time) {
@@ -68,7 +68,7 @@
 const minPacedEvents = 4
 
 // EventInterval returns the mean time between two events, or 0 if there were too few.
-func (k *Ticket) PerEvent() time.Duration {
+func (k *Ticket) EventInterval() time.Duration {
 	if k.events < minPacedEvents {
 		return 0
 	}
@@ -84,7 +84,7 @@
 }
 
 // PromptRead records that the endpoint has processed the prompt, as the first event has arrived.
-func (k *Ticket) Read(now time.Time) {
+func (k *Ticket) PromptRead(now time.Time) {
 	k.tracker.mu.Lock()
 	first := !k.read
 	k.markRead(now, true)
@@ -93,7 +93,7 @@
 		return
 	}
 	for _, w := range k.observers {
-		w.Read()
+		w.PromptRead()
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	k.read, k.readAt = true, now
 	k.state.load.Prompt -= k.Uncached
-	k.state.load.Holdup = max(0, k.state.load.Holdup-k.interference)
+	k.state.load.Interference = max(0, k.state.load.Interference-k.interference)
 	if !learn || !k.measured {
 		return
 	}
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -18,15 +18,15 @@
 
 // Load is the load of one instance's requests on an endpoint: open requests, prompt tokens not
 // processed yet, and their interference with streams.
-type Use struct {
-	Open   int
-	Prompt int
-	Holdup float64
+type Load struct {
+	Open         int
+	Prompt       int
+	Interference float64
 }
 
 // Plus returns the sum of two loads.
-func (u Use) Plus(more Use) Use {
-	return Use{Open: u.Open + more.Open, Prompt: u.Prompt + more.Prompt, Holdup: u.Holdup + more.Holdup}
+func (u Load) Plus(more Load) Load {
+	return Load{Open: u.Open + more.Open, Prompt: u.Prompt + more.Prompt, Interference: u.Interference + more.Interference}
 }
 
 type serviceState struct {
@@ -53,7 +53,7 @@
 const demandWindow = 3 * time.Second
 
 type remote struct {
-	uses      map[string]Use
+	uses      map[string]Load
 	demand    map[string]Demand // by service
 	estimates Estimates
 	at        time.Time // when the update was received
@@ -68,7 +68,7 @@
 	remotes        map[string]remote         // by instance; guarded by mu
 	longPrompts    chan struct{}             // buffered, for one signal
 	hubEstimates   Estimates                 // what this instance measured as a hub; guarded by mu
-	remoteLoads    map[string]Use            // sums over the remotes, by endpoint ID; guarded by mu
+	remoteLoads    map[string]Load           // sums over the remotes, by endpoint ID; guarded by mu
 	updateInterval float64                   // mean nanoseconds between two updates of an instance; guarded by mu
 }
 
@@ -76,7 +76,7 @@
 func NewTracker() *Tracker {
 	return &Tracker{
 		endpoints: make(map[string]*endpointState), services: make(map[string]*serviceState),
-		remotes: make(map[string]remote), remoteLoads: make(map[string]Use), longPrompts: make(chan struct{}, 1),
+		remotes: make(map[string]remote), remoteLoads: make(map[string]Load), longPrompts: make(chan struct{}, 1),
 	}
 }
 
@@ -111,7 +111,7 @@
 
 // CountPlaced counts a request at an endpoint that a hub has chosen for it. This instance knows
 // too little of the queue there for the request's times to count for the estimates.
-func (t *Tracker) Take(s registry.Endpoint, r *Request, uncached int, now time.Time) *Ticket {
+func (t *Tracker) CountPlaced(s registry.Endpoint, r *Request, uncached int, now time.Time) *Ticket {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.service(r.Service).engine = r.Engine
@@ -127,7 +127,7 @@
 	}
 	st.load.Open++
 	st.load.Prompt += uncached
-	st.load.Holdup += k.interference
+	st.load.Interference += k.interference
 	if k.interference >= longInterference {
 		st.longPromptAt = now.Add(service.pace.PrefillTime(uncached))
 	}
@@ -177,7 +177,7 @@
 	others := t.remoteLoads[s.ID]
 	seen, known := st.prefixes[hash]
 	return Candidate{
-		Endpoint: s, Open: float64(st.load.Open) + t.remoteOpen(others.Open, service), Prompt: st.load.Prompt + others.Prompt, Interference: st.load.Holdup + others.Holdup,
+		Endpoint: s, Open: float64(st.load.Open) + t.remoteOpen(others.Open, service), Prompt: st.load.Prompt + others.Prompt, Interference: st.load.Interference + others.Interference,
 		Slowdown: st.slowdownAt(now), FailureRate: st.failureRateAt(now), Ejected: now.Before(st.ejectedUntil),
 		HasPrefix: known && now.Sub(seen) < prefixTTL,
 		Work:      time.Duration(service.work), Pace: service.pace, Risk: service.risk,
@@ -217,23 +217,23 @@
 // Update is the report of another instance. If LoadsOnly is set, the demand and the estimates of
 // its last report remain valid.
 type Update struct {
-	Uses      map[string]Use
+	Loads     map[string]Load
 	Demand    map[string]Demand // by service
 	Estimates Estimates
-	UsesOnly  bool
+	LoadsOnly bool
 }
 
 // Apply applies the update of an instance, which counts until the next one or until a deadline.
 func (t *Tracker) Apply(instance string, update Update, until, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if update.UsesOnly {
+	if update.LoadsOnly {
 		update.Demand, update.Estimates = t.remotes[instance].demand, t.remotes[instance].estimates
 	}
 	if last, known := t.remotes[instance]; known {
 		t.updateInterval += intervalWeight * (float64(now.Sub(last.at)) - t.updateInterval)
 	}
-	t.remotes[instance] = remote{update.Uses, update.Demand, update.Estimates, now, until}
+	t.remotes[instance] = remote{update.Loads, update.Demand, update.Estimates, now, until}
 	clear(t.remoteLoads)
 	for name, r := range t.remotes {
 		if now.After(r.until) {
@@ -242,7 +242,7 @@
 		}
 		for id, u := range r.uses {
 			t.remoteLoads[id] = t.remoteLoads[id].Plus(u)
-			if u.Holdup >= longInterference {
+			if u.Interference >= longInterference {
 				t.endpoint(id).longPromptAt = now
 			}
 		}
@@ -250,10 +250,10 @@
 }
 
 // Loads returns the load of this instance's requests on each endpoint.
-func (t *Tracker) Uses() map[string]Use {
+func (t *Tracker) Loads() map[string]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]Use)
+	out := make(map[string]Load)
 	for id, s := range t.endpoints {
 		if s.load.Open != 0 {
 			out[id] = s.load
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -8,12 +8,12 @@
 
 func BenchmarkVote(b *testing.B) {
 	v := (&View{}).Next(members(9, 4))
-	k := NewKeeper("n00#1")
+	k := NewReplica("n00#1")
 	k.Install(v, t0, retention)
 	b.ReportAllocs()
 	granted := 0
 	for i := range b.N {
-		a := k.Vote(Vote{Epoch: 1, Key: fmt.Sprintf("k%024d", i), Attempt: "n00#dna69e5auk91/abcdefghij", Owner: "n00#dna69e5auk91", Lapse: t0.Add(time.Hour)}, t0)
+		a := k.Vote(VoteRequest{Epoch: 1, Key: fmt.Sprintf("k%024d", i), Attempt: "n00#dna69e5auk91/abcdefghij", Owner: "n00#dna69e5auk91", ExpiresAt: t0.Add(time.Hour)}, t0)
 		if a.Outcome == Granted {
 			granted++
 		}
@@ -27,7 +27,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			first := (&View{}).Next(members(n, 20))
 			for range b.N {
-				k := NewKeeper("n00#1")
+				k := NewReplica("n00#1")
 				k.Install((&View{}).Next(first.Members), t0, retention)
 			}
 		})
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-func TestGroupsAreInThreeHallsAndMoveLittle(t *testing.T) {
+func TestGroupsSpanThreeHallsAndStayStable(t *testing.T) {
 	is := is.New(t)
 	v := (&View{}).Next(members(9, 4))
 	w := v.Next(v.Members[1:])
@@ -46,25 +46,25 @@
 	is := is.New(t)
 	v1 := (&View{}).Next(members(3, 3))
 	v2 := v1.Next(append(members(1, 1), Member{ID: "x#1", Hall: "h1"}, Member{ID: "y#1", Hall: "h2"}))
-	k := NewKeeper("n00#1")
+	k := NewReplica("n00#1")
 	k.Install(v1, t0, retention)
 	is.True(k.Install(v2, t0, retention))
-	vote := Vote{Epoch: v2.Epoch, Key: "k", Attempt: "a", Lapse: t0.Add(time.Hour)}
+	vote := VoteRequest{Epoch: v2.Epoch, Key: "k", Attempt: "a", ExpiresAt: t0.Add(time.Hour)}
 	is.Equal(k.Vote(vote, t0).Outcome, NotReady)
 	late := t0.Add(transferTimeout)
 	is.Equal(k.Vote(vote, late).Outcome, Unknown)
 	fresh := vote
-	fresh.Key, fresh.Fresh = "k2", true
+	fresh.Key, fresh.GeneratedKey = "k2", true
 	is.Equal(k.Vote(fresh, late).Outcome, Granted)
 	is.Equal(k.Vote(vote, t0.Add(retention)).Outcome, Granted)
 }
 
-func TestVoteIsKeptReleasedAndForgotten(t *testing.T) {
+func TestVoteIsStoredReleasedAndExpired(t *testing.T) {
 	is := is.New(t)
 	v1 := (&View{}).Next(members(1, 1))
-	k := NewKeeper("n00#1")
+	k := NewReplica("n00#1")
 	k.Install(v1, t0, retention)
-	a := Vote{Epoch: 1, Key: "k", Attempt: "a", Lapse: t0.Add(time.Hour)}
+	a := VoteRequest{Epoch: 1, Key: "k", Attempt: "a", ExpiresAt: t0.Add(time.Hour)}
 	b := a
 	b.Attempt = "b"
 	is.Equal(k.Vote(a, t0).Outcome, Granted)
@@ -84,7 +84,7 @@
 type model struct {
 	rnd      *rand.Rand
 	now      time.Time
-	replicas map[string]*Keeper
+	replicas map[string]*Replica
 	views    []*View
 	attempts []*attempt
 	messages []func()
@@ -93,18 +93,18 @@
 }
 
 type attempt struct {
-	vote    Vote
+	vote    VoteRequest
 	view    *View
 	granted map[string]bool
 	ended   bool // won or was abandoned
 }
 
 func newModel(seed uint64) *model {
-	m := &model{rnd: rand.New(rand.NewPCG(seed, 1)), now: t0, replicas: make(map[string]*Keeper), runs: make(map[string]int)}
+	m := &model{rnd: rand.New(rand.NewPCG(seed, 1)), now: t0, replicas: make(map[string]*Replica), runs: make(map[string]int)}
 	v := (&View{}).Next(members(modelMembers, 4))
 	m.views = []*View{v}
 	for _, mem := range v.Members {
-		m.replicas[mem.ID] = NewKeeper(mem.ID)
+		m.replicas[mem.ID] = NewReplica(mem.ID)
 		m.replicas[mem.ID].Install(v, m.now, retention)
 	}
 	return m
@@ -138,7 +138,7 @@
 	view := m.views[len(m.views)-1-m.rnd.IntN(min(2, len(m.views)))]
 	m.lastID++
 	a := &attempt{view: view, granted: make(map[string]bool)}
-	a.vote = Vote{Epoch: view.Epoch, Key: key, Attempt: fmt.Sprintf("a%d", m.lastID), Lapse: m.now.Add(retention)}
+	a.vote = VoteRequest{Epoch: view.Epoch, Key: key, Attempt: fmt.Sprintf("a%d", m.lastID), ExpiresAt: m.now.Add(retention)}
 	m.attempts = append(m.attempts, a)
 	for _, mem := range view.Group(ShardOf(key)) {
 		m.send(func() { m.voteAt(mem.ID, a) })
@@ -178,7 +178,7 @@
 	for _, mem := range a.view.Group(ShardOf(a.vote.Key)) {
 		m.send(func() {
 			if k, ok := m.replicas[mem.ID]; ok {
-				k.Release(a.vote.Key, a.vote.Attempt, a.vote.Lapse)
+				k.Release(a.vote.Key, a.vote.Attempt, a.vote.ExpiresAt)
 			}
 		})
 	}
@@ -200,7 +200,7 @@
 		}
 		m.lastID++
 		mem := Member{ID: fmt.Sprintf("m%d#1", m.lastID), Hall: next[i].Hall}
-		m.replicas[mem.ID] = NewKeeper(mem.ID)
+		m.replicas[mem.ID] = NewReplica(mem.ID)
 		next[i] = mem
 	}
 	m.views = append(m.views, cur.Next(next))
@@ -233,7 +233,7 @@
 	if !ok || k.View() == nil {
 		return
 	}
-	for _, old := range k.Missing() {
+	for _, old := range k.PendingTransfers() {
 		m.send(func() {
 			from, ok := m.replicas[old.ID]
 			if !ok {
--- a/internal/claim/replica.go
+++ b/internal/claim/replica.go
@@ -32,7 +32,7 @@
 	Key       string
 	Attempt   string    // ID of the attempt that has the vote
 	Owner     string    // entry instance that makes the attempt
-	Lapse     time.Time // after the deadline promised to callers; the claim may be deleted from then on
+	ExpiresAt time.Time // after the deadline promised to callers; the claim may be deleted from then on
 	Digest    uint64    // hash of the request of the caller
 	Done      bool      // the attempt ran and its result is known
 	Contested bool      // two previous replicas voted for different attempts; the winner cannot be determined
@@ -53,18 +53,18 @@
 )
 
 // VoteRequest asks a replica to vote for an attempt.
-type Vote struct {
-	Epoch   uint64 // epoch of the view of the requester
-	Key     string
-	Attempt string
-	Owner   string // entry instance that makes the attempt
-	Lapse   time.Time
-	Digest  uint64 // hash of the request of the caller
-	Fresh   bool   // the system generated the key for this attempt, so no earlier attempt exists
+type VoteRequest struct {
+	Epoch        uint64 // epoch of the view of the requester
+	Key          string
+	Attempt      string
+	Owner        string // entry instance that makes the attempt
+	ExpiresAt    time.Time
+	Digest       uint64 // hash of the request of the caller
+	GeneratedKey bool   // the system generated the key for this attempt, so no earlier attempt exists
 }
 
 // VoteResponse is the answer to a VoteRequest.
-type Answer struct {
+type VoteResponse struct {
 	Outcome Outcome
 	Claim   Claim  // the existing claim if the outcome is Taken or Conflict
 	Epoch   uint64 // epoch of the view of the replica
@@ -83,7 +83,7 @@
 }
 
 // Replica stores the claims of the shards that the view assigns to this instance.
-type Keeper struct {
+type Replica struct {
 	self   string
 	view   *View
 	shards [Shards]shardState
@@ -91,21 +91,21 @@
 }
 
 // NewReplica returns a replica without a view.
-func NewKeeper(self string) *Keeper {
-	return &Keeper{self: self, claims: make(map[string]*Claim)}
+func NewReplica(self string) *Replica {
+	return &Replica{self: self, claims: make(map[string]*Claim)}
 }
 
 // View returns the installed view, or nil.
-func (r *Keeper) View() *View { return r.view }
+func (r *Replica) View() *View { return r.view }
 
 // Len returns the number of stored claims.
-func (r *Keeper) Len() int { return len(r.claims) }
+func (r *Replica) Len() int { return len(r.claims) }
 
 // Install installs a view if its epoch is higher than that of the current one, and
 // reports whether it did. Claims made in earlier views may exist that expire up to
 // the retention period from now, so a shard whose claims cannot be transferred
 // stays unknown for that long.
-func (r *Keeper) Install(v *View, now time.Time, retention time.Duration) bool {
+func (r *Replica) Install(v *View, now time.Time, retention time.Duration) bool {
 	if r.view != nil && v.Epoch <= r.view.Epoch {
 		return false
 	}
@@ -131,7 +131,7 @@
 
 // PendingTransfers returns the previous replicas whose claims this replica still
 // needs.
-func (r *Keeper) Missing() []Member {
+func (r *Replica) PendingTransfers() []Member {
 	if r.view == nil {
 		return nil
 	}
@@ -153,22 +153,22 @@
 // Transfer holds the claims that a replica of the previous view sends to a replica
 // of the new one.
 type Transfer struct {
-	Epoch  uint64 // epoch of the new view, which the sender has installed
-	Knew   []bool // by shard: whether the sender had all claims of the previous view
-	Claims []Claim
+	Epoch    uint64 // epoch of the new view, which the sender has installed
+	Complete []bool // by shard: whether the sender had all claims of the previous view
+	Claims   []Claim
 }
 
 // Transfer returns the claims that the instance with ID to needs as a replica of the
 // view with this epoch. It reports false unless this replica has installed that
 // view: only then does it no longer vote in the previous one.
-func (r *Keeper) Transfer(to string, epoch uint64) (Transfer, bool) {
+func (r *Replica) Transfer(to string, epoch uint64) (Transfer, bool) {
 	if r.view == nil || r.view.Epoch != epoch {
 		return Transfer{}, false
 	}
-	t := Transfer{Epoch: epoch, Knew: make([]bool, Shards)}
+	t := Transfer{Epoch: epoch, Complete: make([]bool, Shards)}
 	wanted := make([]bool, Shards)
 	for s := range r.shards {
-		t.Knew[s] = r.shards[s].completeEpoch >= epoch-1 && hasMember(r.view.PreviousGroup(Shard(s)), r.self)
+		t.Complete[s] = r.shards[s].completeEpoch >= epoch-1 && hasMember(r.view.PreviousGroup(Shard(s)), r.self)
 		wanted[s] = hasMember(r.view.Group(Shard(s)), to)
 	}
 	for _, c := range r.claims {
@@ -187,7 +187,7 @@
 
 // Receive merges a transfer from a replica of the previous view. It is ignored if it
 // is for another view than the installed one.
-func (r *Keeper) Receive(from string, t Transfer) {
+func (r *Replica) Receive(from string, t Transfer) {
 	if r.view == nil || t.Epoch != r.view.Epoch {
 		return
 	}
@@ -195,7 +195,7 @@
 		r.merge(c)
 	}
 	for s := range r.shards {
-		if t.Knew[s] && hasMember(r.view.PreviousGroup(Shard(s)), from) {
+		if t.Complete[s] && hasMember(r.view.PreviousGroup(Shard(s)), from) {
 			r.shards[s].receivedFrom[from] = true
 			r.checkComplete(Shard(s))
 		}
@@ -204,7 +204,7 @@
 
 // checkComplete marks a shard as complete once a majority of its previous group has
 // sent its claims.
-func (r *Keeper) checkComplete(s Shard) {
+func (r *Replica) checkComplete(s Shard) {
 	st := &r.shards[s]
 	old := r.view.PreviousGroup(s)
 	if len(old) > 0 && len(st.receivedFrom) >= Majority(len(old)) {
@@ -215,7 +215,7 @@
 // merge adds a transferred claim. Of two claims for one key, one whose attempt ran
 // wins over one that is not known to have run, and any claim wins over a released
 // one. If neither rule applies, the existing claim is marked as contested.
-func (r *Keeper) merge(c Claim) {
+func (r *Replica) merge(c Claim) {
 	have, ok := r.claims[c.Key]
 	switch {
 	case !ok:
@@ -235,8 +235,8 @@
 }
 
 // Vote answers a vote request and, if it grants the vote, stores the claim.
-func (r *Keeper) Vote(v Vote, now time.Time) Answer {
-	a := Answer{Outcome: Stale}
+func (r *Replica) Vote(v VoteRequest, now time.Time) VoteResponse {
+	a := VoteResponse{Outcome: Stale}
 	if r.view == nil {
 		return a
 	}
@@ -255,14 +255,14 @@
 	if a.Outcome = r.readiness(s, v, now); a.Outcome != Granted {
 		return a
 	}
-	r.claims[v.Key] = &Claim{Key: v.Key, Attempt: v.Attempt, Owner: v.Owner, Lapse: v.Lapse, Digest: v.Digest}
+	r.claims[v.Key] = &Claim{Key: v.Key, Attempt: v.Attempt, Owner: v.Owner, ExpiresAt: v.ExpiresAt, Digest: v.Digest}
 	return a
 }
 
 // blockingClaim returns the existing claim that forbids the vote, if there is one.
-func (r *Keeper) blockingClaim(v Vote, now time.Time) (Claim, bool) {
+func (r *Replica) blockingClaim(v VoteRequest, now time.Time) (Claim, bool) {
 	c, ok := r.claims[v.Key]
-	if !ok || !now.Before(c.Lapse) {
+	if !ok || !now.Before(c.ExpiresAt) {
 		return Claim{}, false
 	}
 	if c.Attempt == v.Attempt {
@@ -273,10 +273,10 @@
 
 // readiness returns Granted if no earlier claim for the key can exist that this
 // replica lacks, and otherwise the outcome that says why it cannot vote.
-func (r *Keeper) readiness(s Shard, v Vote, now time.Time) Outcome {
+func (r *Replica) readiness(s Shard, v VoteRequest, now time.Time) Outcome {
 	st := &r.shards[s]
 	switch {
-	case st.completeEpoch == r.view.Epoch || v.Fresh:
+	case st.completeEpoch == r.view.Epoch || v.GeneratedKey:
 		return Granted
 	case !now.Before(st.unknownUntil):
 		st.completeEpoch = r.view.Epoch
@@ -289,9 +289,9 @@
 }
 
 // Lookup returns the claim of a key, unless it has expired or was released.
-func (r *Keeper) Look(key string, now time.Time) (Claim, bool) {
+func (r *Replica) Lookup(key string, now time.Time) (Claim, bool) {
 	c, ok := r.claims[key]
-	if !ok || !now.Before(c.Lapse) || c.Released {
+	if !ok || !now.Before(c.ExpiresAt) || c.Released {
 		return Claim{}, false
 	}
 	return *c, true
@@ -300,18 +300,18 @@
 // Release withdraws the vote for an abandoned attempt that will run nothing. The
 // release is stored even if there was no vote, so that a vote request of the same
 // attempt that arrives later is not granted.
-func (r *Keeper) Release(key, attempt string, expiresAt time.Time) {
+func (r *Replica) Release(key, attempt string, expiresAt time.Time) {
 	c, ok := r.claims[key]
 	switch {
 	case !ok:
-		r.claims[key] = &Claim{Key: key, Attempt: attempt, Lapse: expiresAt, Released: true}
+		r.claims[key] = &Claim{Key: key, Attempt: attempt, ExpiresAt: expiresAt, Released: true}
 	case c.Attempt == attempt:
 		c.Released = true
 	}
 }
 
 // Finish records that an attempt ran and that its result is known.
-func (r *Keeper) Finish(key, attempt string) {
+func (r *Replica) Finish(key, attempt string) {
 	if c, ok := r.claims[key]; ok && c.Attempt == attempt {
 		c.Done = true
 		c.Contested = false
@@ -319,10 +319,10 @@
 }
 
 // Expire deletes the expired claims and returns their keys.
-func (r *Keeper) Expire(now time.Time) []string {
+func (r *Replica) Expire(now time.Time) []string {
 	var expired []string
 	for key, c := range r.claims {
-		if !now.Before(c.Lapse) {
+		if !now.Before(c.ExpiresAt) {
 			delete(r.claims, key)
 			expired = append(expired, key)
 		}
@@ -331,7 +331,7 @@
 }
 
 // UnknownShards returns how many shards of this replica may have lost claims.
-func (r *Keeper) Unknown(now time.Time) int {
+func (r *Replica) UnknownShards(now time.Time) int {
 	n := 0
 	for s := range r.shards {
 		st := &r.shards[s]
@@ -343,7 +343,7 @@
 }
 
 // Ready reports whether the replica has the claims of all its shards.
-func (r *Keeper) Ready() bool { return r.view != nil && len(r.Missing()) == 0 }
+func (r *Replica) Ready() bool { return r.view != nil && len(r.PendingTransfers()) == 0 }
 
 func hasMember(members []Member, id string) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.ID == id })
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -118,4 +118,4 @@
 
 // ToMonotonic converts t to a time of Go's monotonic clock, for timers and connection
 // deadlines. The result holds if the instance is not suspended before t.
-func (c *Clock) Steady(t time.Time) time.Time { return time.Now().Add(c.Until(t)) }
+func (c *Clock) ToMonotonic(t time.Time) time.Time { return time.Now().Add(c.Until(t)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -18,7 +18,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-func TestASuspensionCounts(t *testing.T) {
+func TestClockIncludesSuspension(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := clocktest.New()
@@ -32,18 +32,18 @@
 		m.Resume()
 		is.Equal(c.Since(begun), 6*time.Second)
 		is.Equal(c.Until(begun.Add(10*time.Second)), 4*time.Second)
-		is.Equal(time.Until(c.Steady(begun.Add(10*time.Second))), 4*time.Second)
+		is.Equal(time.Until(c.ToMonotonic(begun.Add(10*time.Second))), 4*time.Second)
 	})
 }
 
 // noBootTime is a time source without boot time.
-type noBootTime struct{ *clocktest.Machine }
+type noBootTime struct{ *clocktest.TimeSource }
 
 func (noBootTime) BootTimeErr() error { return errNoBootTime }
 
 var errNoBootTime = errors.New("no boot time")
 
-func TestAClockWithoutBootTimeIsSteady(t *testing.T) {
+func TestClockWithoutBootTimeExcludesSuspension(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := clocktest.New()
@@ -104,7 +104,7 @@
 
 // TestServingPackagesUseClock fails where a serving package reads the monotonic clock instead of
 // a clock.Clock.
-func TestServingAsksTheClock(t *testing.T) {
+func TestServingPackagesUseClock(t *testing.T) {
 	is := is.New(t)
 	for _, name := range servingPackages {
 		files, err := filepath.Glob(filepath.Join("..", name, "*.go"))
--- a/internal/clock/wake.go
+++ b/internal/clock/wake.go
@@ -9,7 +9,7 @@
 	// StallCheckInterval is the time between two checks for a stall. It is well below the
 	// 300 ms after which a call under a lease that lapsed during the stall counts against
 	// its sender.
-	LookEvery = 100 * time.Millisecond
+	StallCheckInterval = 100 * time.Millisecond
 	// minStall is the shortest stall that is reported. On a busy host a process may not be
 	// scheduled for some tenths of a second.
 	minStall = 400 * time.Millisecond
@@ -18,7 +18,7 @@
 // Resumption describes a stall that has ended: the process was stopped or the instance
 // suspended, and runs again.
 type Resumption struct {
-	Stood     time.Duration // length of the stall
+	Stalled   time.Duration // length of the stall
 	Suspended time.Duration // the part of it during which the monotonic clock was stopped
 	Ended     int           // number of contexts whose deadlines passed during the stall
 }
@@ -32,7 +32,7 @@
 }
 
 // NewStallDetector returns a detector that reports stalls from now on, or nil for a nil clock.
-func (c *Clock) Watch() *StallDetector {
+func (c *Clock) NewStallDetector() *StallDetector {
 	if c == nil {
 		return nil
 	}
@@ -41,15 +41,15 @@
 
 // Check reports whether the process has stalled since the last call. If so, it has ended the
 // contexts whose deadlines have passed. A nil detector never reports a stall.
-func (d *StallDetector) Look() (Resumption, bool) {
+func (d *StallDetector) Check() (Resumption, bool) {
 	if d == nil {
 		return Resumption{}, false
 	}
 	c := d.clock
 	now, suspended := c.Now(), c.suspended()
-	resumption := Resumption{Stood: now.Sub(d.lastCheck) - LookEvery, Suspended: suspended - d.suspended}
+	resumption := Resumption{Stalled: now.Sub(d.lastCheck) - StallCheckInterval, Suspended: suspended - d.suspended}
 	d.lastCheck, d.suspended = now, suspended
-	if resumption.Stood < minStall {
+	if resumption.Stalled < minStall {
 		return Resumption{}, false
 	}
 	resumption.Ended = c.endPassed()
@@ -58,9 +58,9 @@
 
 // Run checks for stalls until ctx ends, and calls onResume after each.
 func (c *Clock) Run(ctx context.Context, onResume func(Resumption)) error {
-	d := c.Watch()
-	for c.Sleep(ctx, LookEvery) {
-		if resumption, ok := d.Look(); ok {
+	d := c.NewStallDetector()
+	for c.Sleep(ctx, StallCheckInterval) {
+		if resumption, ok := d.Check(); ok {
 			onResume(resumption)
 		}
 	}
--- a/internal/clocktest/machine.go
+++ b/internal/clocktest/machine.go
@@ -13,7 +13,7 @@
 // between two instructions.
 //
 // TimeSource is safe for concurrent use.
-type Machine struct {
+type TimeSource struct {
 	start time.Time
 
 	mu           sync.Mutex
@@ -23,10 +23,10 @@
 }
 
 // New returns a time source that is not suspended.
-func New() *Machine { return &Machine{start: time.Now()} }
+func New() *TimeSource { return &TimeSource{start: time.Now()} }
 
 // now returns the time that the process observes, and the total length of earlier suspensions.
-func (s *Machine) now() (time.Time, time.Duration) {
+func (s *TimeSource) now() (time.Time, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.suspendedAt.IsZero() {
@@ -36,10 +36,10 @@
 }
 
 // BootTimeErr implements clock.TimeSource.
-func (s *Machine) BootTimeErr() error { return nil }
+func (s *TimeSource) BootTimeErr() error { return nil }
 
 // BootTime implements clock.TimeSource.
-func (s *Machine) BootTime() time.Duration {
+func (s *TimeSource) BootTime() time.Duration {
 	now, _ := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,13 +47,13 @@
 }
 
 // Monotonic implements clock.TimeSource.
-func (s *Machine) Monotonic() time.Duration {
+func (s *TimeSource) Monotonic() time.Duration {
 	now, suspendedFor := s.now()
 	return now.Sub(s.start) - suspendedFor
 }
 
 // Suspend stops the monotonic clock and the timers until Resume.
-func (s *Machine) Suspend() {
+func (s *TimeSource) Suspend() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.suspendedAt.IsZero() {
@@ -63,14 +63,14 @@
 
 // SkipSuspended simulates a suspension of length d that takes no time in the test: the boot
 // time advances by d, the monotonic clock does not.
-func (s *Machine) Skip(d time.Duration) {
+func (s *TimeSource) SkipSuspended(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.skipped += d
 }
 
 // Resume ends a suspension started by Suspend.
-func (s *Machine) Resume() {
+func (s *TimeSource) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.suspendedAt.IsZero() {
@@ -81,7 +81,7 @@
 }
 
 // WaitResumed blocks while the time source is suspended.
-func (s *Machine) AwaitResume() {
+func (s *TimeSource) WaitResumed() {
 	for s.suspended() {
 		time.Sleep(resumePollInterval)
 	}
@@ -90,21 +90,21 @@
 // resumePollInterval is the time between two checks of whether a suspension has ended.
 const resumePollInterval = 5 * time.Millisecond
 
-func (s *Machine) suspended() bool {
+func (s *TimeSource) suspended() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.suspendedAt.IsZero()
 }
 
 // After implements clock.TimeSource.
-func (s *Machine) After(d time.Duration) <-chan time.Time {
+func (s *TimeSource) After(d time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	s.AfterFunc(d, func() { c <- time.Now() })
 	return c
 }
 
 // AfterFunc implements clock.TimeSource. A suspension delays pending calls by its length.
-func (s *Machine) AfterFunc(d time.Duration, f func()) clock.Timer {
+func (s *TimeSource) AfterFunc(d time.Duration, f func()) clock.Timer {
 	t := &timer{source: s, due: s.Monotonic() + d, call: f}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,7 +114,7 @@
 
 // timer is a pending call on the monotonic clock of a time source.
 type timer struct {
-	source *Machine
+	source *TimeSource
 	due    time.Duration
 	call   func()
 
@@ -125,7 +125,7 @@
 
 // fireOrWait makes the call if it is due, or else starts the timer again for the time left.
 func (t *timer) fireOrWait() {
-	t.source.AwaitResume()
+	t.source.WaitResumed()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.done {
--- a/internal/cmd/check.go
+++ b/internal/cmd/check.go
@@ -50,6 +50,6 @@
 		_, err := settings.LoadFront(file)
 		return err
 	}
-	_, err := settings.LoadServe(file)
+	_, err := settings.LoadEntry(file)
 	return err
 }
--- a/internal/cmd/generate.go
+++ b/internal/cmd/generate.go
@@ -44,7 +44,7 @@
 		if c.Max > 0 {
 			limits = fmt.Sprintf("%v to %v", c.Min, c.Max)
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s |\n", c.Name, c.Type, c.Unit, limits, c.Default, c.For, c.Help)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s |\n", c.Name, c.Type, c.Unit, limits, c.Default, c.AppliesTo, c.Help)
 	}
 	return b.String()
 }
@@ -53,7 +53,7 @@
 	var b strings.Builder
 	b.WriteString("# Settings of an entry instance\n" + generatedNote)
 	b.WriteString("\nSettings place a process; policy is in the table. `shelfcrank check FILE` names every fault.\n\n| key | type | meaning |\n| --- | --- | --- |\n")
-	settingsRows(&b, reflect.TypeFor[settings.Serve](), "")
+	settingsRows(&b, reflect.TypeFor[settings.Entry](), "")
 	b.WriteString("\n# Settings of a node on the users' platform\n\n| key | type | meaning |\n| --- | --- | --- |\n")
 	settingsRows(&b, reflect.TypeFor[settings.Front](), "")
 	return b.String()
--- a/internal/cmd/keys.go
+++ b/internal/cmd/keys.go
@@ -45,7 +45,7 @@
 			if err := keys.MakeAuthority(*dir, until); err != nil {
 				return err
 			}
-			if err := keys.MakeEntry(*dir, args[0], addrs, until); err != nil {
+			if err := keys.MakeEntryCertificate(*dir, args[0], addrs, until); err != nil {
 				return err
 			}
 			fmt.Fprintf(e.out, "%s/%s.pem and %s/%s-key.pem, signed by %s/%s\n", *dir, args[0], *dir, args[0], *dir, keys.AuthorityCert)
--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -43,26 +43,26 @@
 	}
 }
 
-func loadSettings(file string) (settings.Serve, error) {
+func loadSettings(file string) (settings.Entry, error) {
 	if file == "" {
-		return settings.Serve{}, usagef("-settings FILE is missing")
+		return settings.Entry{}, usagef("-settings FILE is missing")
 	}
-	set, err := settings.LoadServe(file)
+	set, err := settings.LoadEntry(file)
 	if err != nil {
 		return set, usageError{err}
 	}
 	return set, nil
 }
 
-func serve(ctx context.Context, set settings.Serve, log *zap.Logger) error {
+func serve(ctx context.Context, set settings.Entry, log *zap.Logger) error {
 	defer func() { _ = log.Sync() }()
 	o := entry.Options{Settings: set, Net: netx.TCP{}, Clock: clock.New(clock.System{}), Log: log, Seed: rand.Uint64()}
-	if !set.Plain {
+	if !set.PlainText {
 		loader, err := keys.NewLoader(keys.Files{Authority: set.TLS.Authority, Cert: set.TLS.Cert, Key: set.TLS.Key})
 		if err != nil {
 			return usageError{err}
 		}
-		o.CallerTLS, o.PeerTLS = loader.Callers(), loader.Peers()
+		o.CallerTLS, o.PeerTLS = loader.PublicConfig(), loader.PeerConfig()
 	}
 	inst, err := entry.New(o)
 	if err != nil {
--- a/internal/cmd/table.go
+++ b/internal/cmd/table.go
@@ -129,7 +129,7 @@
 		_, _ = rand.Read(b[:]) // never fails
 		edit.ID = hex.EncodeToString(b[:])
 	}
-	edit.Was, edit.HasWas = *f.was, f.wasGiven()
+	edit.Expected, edit.HasExpected = *f.was, f.wasGiven()
 	var a gateway.EditAnswer
 	if err := f.call(ctx, http.MethodPost, "/operator/edits", gateway.NewEditRequest(edit), &a); err != nil {
 		return fmt.Errorf("edit %s: %w", edit.ID, err)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,7 +13,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-func TestWatchdogNoticesAWedgedLoop(t *testing.T) {
+func TestWatchdogDetectsStalledLoop(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := New(member.Member{ID: "n#1", Name: "n"}, nil)
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -24,7 +24,7 @@
 type ViewRead struct{ View *claim.View }
 
 // InstanceListRead reports the instance list of the platform. The list may be stale.
-type ListRead struct{ Instances []platform.Instance }
+type InstanceListRead struct{ Instances []platform.Instance }
 
 // NoticesRead reports reclaim notices of the platform.
 type NoticesRead struct{ Notices []platform.Notice }
@@ -40,7 +40,7 @@
 
 // EndpointReportedLeaving reports that an endpoint announced in an answer that it is
 // leaving.
-type Refused struct{ Endpoint *route.Endpoint }
+type EndpointReportedLeaving struct{ Endpoint *route.Endpoint }
 
 // Leave makes this instance stop taking new requests. By is the reclaim deadline; it is
 // zero for a planned stop.
@@ -55,25 +55,25 @@
 // membersRequest asks for the current members.
 type membersRequest struct{ reply chan []member.Member }
 
-func (TableRead) event()         {}
-func (ViewRead) event()          {}
-func (ListRead) event()          {}
-func (NoticesRead) event()       {}
-func (HeartbeatReceived) event() {}
-func (Refused) event()           {}
-func (Leave) event()             {}
-func (tick) event()              {}
-func (probe) event()             {}
-func (membersRequest) event()    {}
+func (TableRead) event()               {}
+func (ViewRead) event()                {}
+func (InstanceListRead) event()        {}
+func (NoticesRead) event()             {}
+func (HeartbeatReceived) event()       {}
+func (EndpointReportedLeaving) event() {}
+func (Leave) event()                   {}
+func (tick) event()                    {}
+func (probe) event()                   {}
+func (membersRequest) event()          {}
 
 // Effect is an output of the control loop that the rest of the process acts on.
 type Effect interface{ effect() }
 
 // TableActivated reports that a table revision is in use from now on.
-type TableInForce struct{ Revision uint64 }
+type TableActivated struct{ Revision uint64 }
 
 // ViewActivated reports that a view is in use from now on.
-type ViewInForce struct{ View *claim.View }
+type ViewActivated struct{ View *claim.View }
 
 // MemberChanged reports a change of the state of an entry instance.
 type MemberChanged struct{ Change member.Change }
@@ -93,16 +93,16 @@
 }
 
 // EndpointRemoved reports that an endpoint no longer exists.
-type EndpointGone struct{ Endpoint *route.Endpoint }
+type EndpointRemoved struct{ Endpoint *route.Endpoint }
 
 // SelfLeaving reports that this instance is leaving and has to hand over its requests.
 // By is the reclaim deadline; it is zero for a planned stop.
 type SelfLeaving struct{ By time.Time }
 
-func (TableInForce) effect()    {}
-func (ViewInForce) effect()     {}
+func (TableActivated) effect()  {}
+func (ViewActivated) effect()   {}
 func (MemberChanged) effect()   {}
 func (EndpointJoined) effect()  {}
 func (EndpointLeaving) effect() {}
-func (EndpointGone) effect()    {}
+func (EndpointRemoved) effect() {}
 func (SelfLeaving) effect()     {}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -13,16 +13,16 @@
 // Snapshot is the immutable control state that requests are served by. Its maps must
 // not be modified.
 type Snapshot struct {
-	Self     member.Member
-	Table    *table.View // nil until a table is known
-	Stored   table.Stored
-	View     *claim.View // nil until a view is known
-	Members  []member.Member
-	Models   Pools
-	Services Pools
-	Leaving  bool      // this instance takes no new requests
-	LeaveBy  time.Time // reclaim deadline of this instance; zero unless it is being reclaimed
-	Demand   Demand    // recent usage on the other instances
+	Self            member.Member
+	Table           *table.View // nil until a table is known
+	Stored          table.Stored
+	View            *claim.View // nil until a view is known
+	Members         []member.Member
+	Models          Pools
+	Services        Pools
+	Leaving         bool      // this instance takes no new requests
+	ReclaimDeadline time.Time // reclaim deadline of this instance; zero unless it is being reclaimed
+	Demand          Demand    // recent usage on the other instances
 }
 
 // Pools maps the name of a model or service to its pool.
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -90,13 +90,13 @@
 		s.tableRead(e)
 	case ViewRead:
 		s.viewRead(e)
-	case ListRead:
+	case InstanceListRead:
 		s.listRead(e, now)
 	case NoticesRead:
 		s.noticesRead(e.Notices, now)
 	case HeartbeatReceived:
 		s.applyHeartbeat(e, now)
-	case Refused:
+	case EndpointReportedLeaving:
 		s.markLeaving(e.Endpoint.ID, e.Endpoint.Incarnation, time.Time{}, now)
 	case Leave:
 		s.markSelfLeaving(e)
@@ -118,7 +118,7 @@
 	s.snap.Stored = e.Stored
 	s.snap.Self.TableRevision = e.Stored.Doc.Revision
 	s.dirty = true
-	s.emit(TableInForce{Revision: e.Stored.Doc.Revision})
+	s.emit(TableActivated{Revision: e.Stored.Doc.Revision})
 }
 
 // viewRead activates a view with a higher epoch than the current one.
@@ -129,16 +129,16 @@
 	s.snap.View = e.View
 	s.snap.Self.ViewEpoch = e.View.Epoch
 	s.dirty = true
-	s.emit(ViewInForce(e))
+	s.emit(ViewActivated(e))
 }
 
 // markSelfLeaving marks this instance as leaving. A reclaim notice takes effect even after
 // a planned stop has begun, because it sets the deadline.
 func (s *State) markSelfLeaving(e Leave) {
-	if s.snap.Leaving && (e.By.IsZero() || !s.snap.LeaveBy.IsZero()) {
+	if s.snap.Leaving && (e.By.IsZero() || !s.snap.ReclaimDeadline.IsZero()) {
 		return
 	}
-	s.snap.Leaving, s.snap.LeaveBy = true, e.By
+	s.snap.Leaving, s.snap.ReclaimDeadline = true, e.By
 	s.snap.Self.Leaving = true
 	s.dirty = true
 	s.emit(SelfLeaving(e))
@@ -207,7 +207,7 @@
 
 // listRead adds, removes and marks endpoints according to the instance list. Entry
 // instances are skipped: their membership is derived from heartbeats.
-func (s *State) listRead(e ListRead, now time.Time) {
+func (s *State) listRead(e InstanceListRead, now time.Time) {
 	seen := make(map[string]bool, len(e.Instances))
 	for _, i := range e.Instances {
 		seen[i.ID] = true
@@ -306,7 +306,7 @@
 	k := s.endpoints[id]
 	delete(s.endpoints, id)
 	s.setPool(k.kind, k.endpoint.Model, func(p *route.Pool) *route.Pool { return p.Without(id) })
-	s.emit(EndpointGone{Endpoint: k.endpoint})
+	s.emit(EndpointRemoved{Endpoint: k.endpoint})
 }
 
 // leavingAnnouncePeriod is how long peers are notified that an endpoint is leaving.
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -22,7 +22,7 @@
 func TestLeavingIsStickyForTheIncarnation(t *testing.T) {
 	is := is.New(t)
 	s := NewState(member.Member{ID: "n#1", Name: "n"})
-	list := ListRead{Instances: []platform.Instance{engine("e", 1)}}
+	list := InstanceListRead{Instances: []platform.Instance{engine("e", 1)}}
 	s.Apply(list, t0)
 	is.Equal(s.snap.Models["m"].Size, 1)
 	effects := s.Apply(NoticesRead{[]platform.Notice{{ID: "e", Incarnation: 1, Deadline: t0.Add(time.Minute)}}}, t0)
@@ -30,30 +30,30 @@
 	is.Equal(s.snap.Models["m"].Size, 0)
 	s.Apply(list, t0.Add(10*time.Second)) // the list is stale and still contains it as live
 	is.Equal(s.snap.Models["m"].Size, 0)
-	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 2)}}, t0.Add(20*time.Second))
+	s.Apply(InstanceListRead{Instances: []platform.Instance{engine("e", 2)}}, t0.Add(20*time.Second))
 	is.Equal(s.snap.Models["m"].Size, 1) // a new incarnation with the same ID
 }
 
-func TestAnUpdateOfAnUnknownEndpointIsKept(t *testing.T) {
+func TestLeavingNoticeOfUnknownEndpointIsKept(t *testing.T) {
 	is := is.New(t)
 	s := NewState(member.Member{ID: "n#1", Name: "n"})
 	s.Apply(HeartbeatReceived{Leaving: []platform.Notice{{ID: "e", Incarnation: 1, Deadline: t0.Add(time.Minute)}}}, t0)
-	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 1)}}, t0.Add(time.Second))
+	s.Apply(InstanceListRead{Instances: []platform.Instance{engine("e", 1)}}, t0.Add(time.Second))
 	is.True(s.snap.Models["m"] == nil || s.snap.Models["m"].Size == 0)
 }
 
-func TestEndpointsGoWhenTheListLacksThemThreeTimes(t *testing.T) {
+func TestEndpointsAreRemovedAfterThreeMissedListReads(t *testing.T) {
 	is := is.New(t)
 	s := NewState(member.Member{ID: "n#1", Name: "n"})
-	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 1)}}, t0)
+	s.Apply(InstanceListRead{Instances: []platform.Instance{engine("e", 1)}}, t0)
 	for range maxMissedReads - 1 {
-		is.Equal(len(s.Apply(ListRead{}, t0)), 0)
+		is.Equal(len(s.Apply(InstanceListRead{}, t0)), 0)
 	}
-	is.Equal(len(s.Apply(ListRead{}, t0)), 1)
+	is.Equal(len(s.Apply(InstanceListRead{}, t0)), 1)
 	is.Equal(s.snap.Models["m"].Size, 0)
 }
 
-func TestRevisionsAndViewsOnlyGoUp(t *testing.T) {
+func TestRevisionsAndEpochsNeverDecrease(t *testing.T) {
 	is := is.New(t)
 	s := NewState(member.Member{ID: "n#1", Name: "n"})
 	read := func(rev uint64) int {
@@ -80,9 +80,9 @@
 func TestPublishedSnapshotsDoNotChange(t *testing.T) {
 	is := is.New(t)
 	s := NewState(member.Member{ID: "n#1", Name: "n"})
-	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 1)}}, t0)
+	s.Apply(InstanceListRead{Instances: []platform.Instance{engine("e", 1)}}, t0)
 	before, _ := s.Snapshot()
-	s.Apply(ListRead{Instances: []platform.Instance{engine("e", 1), engine("f", 1)}}, t0)
+	s.Apply(InstanceListRead{Instances: []platform.Instance{engine("e", 1), engine("f", 1)}}, t0)
 	is.Equal(before.Models["m"].Size, 1)
 	after, changed := s.Snapshot()
 	is.True(changed)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -166,9 +166,9 @@
 	r.add(table.ColMatch, c.Match)
 	r.add(table.ColModel, c.Model)
 	r.add(table.ColPriority, strconv.Itoa(c.Priority))
-	r.add(table.ColTarget, strconv.Itoa(c.TargetMs))
+	r.add(table.ColLatencyTarget, strconv.Itoa(c.TargetMs))
 	r.add(table.ColDeadline, strconv.Itoa(c.DeadlineMs))
-	r.add(table.ColRecompute, number(c.Recompute))
+	r.add(table.ColRecomputePrice, number(c.Recompute))
 	if c.MayBeLate {
 		r.add(table.ColMayBeLate, "true")
 	}
@@ -201,29 +201,29 @@
 	n := 0
 	for _, m := range s.Models {
 		for i := range m.Engines {
-			set.Engine = append(set.Engine, standin.Place{ID: fmt.Sprintf("%s-%02d", m.Name, i), Addr: loopback(base + portEngine + n), Hall: s.Halls[i%len(s.Halls)], Serves: m.Name})
+			set.Engine = append(set.Engine, standin.InstanceSpec{ID: fmt.Sprintf("%s-%02d", m.Name, i), Addr: loopback(base + portEngine + n), Hall: s.Halls[i%len(s.Halls)], Serves: m.Name})
 			n++
 		}
 	}
 	n = 0
 	for _, v := range s.Services {
 		for i := range v.Instances {
-			set.Service = append(set.Service, standin.Place{ID: fmt.Sprintf("%s-%02d", v.Name, i), Addr: loopback(base + portService + n), Hall: s.Halls[i%len(s.Halls)], Serves: v.Name})
+			set.Service = append(set.Service, standin.InstanceSpec{ID: fmt.Sprintf("%s-%02d", v.Name, i), Addr: loopback(base + portService + n), Hall: s.Halls[i%len(s.Halls)], Serves: v.Name})
 			n++
 		}
 	}
 	for i := range s.Entries {
 		e := s.Entry(base, i)
-		set.Entry = append(set.Entry, standin.Place{ID: e.Name, Addr: e.Caller, Peer: e.Peer, Hall: e.Hall})
+		set.Entry = append(set.Entry, standin.InstanceSpec{ID: e.Name, Addr: e.Caller, Peer: e.Peer, Hall: e.Hall})
 	}
 	return set, nil
 }
 
 // Entry returns the settings of the i-th entry instance.
-func (s *Spec) Entry(base, i int) settings.Serve {
-	return settings.Serve{
+func (s *Spec) Entry(base, i int) settings.Entry {
+	return settings.Entry{
 		Name: fmt.Sprintf("entry-%02d", i), Hall: s.Halls[i%len(s.Halls)], Region: s.Region,
 		Caller: loopback(base + portEntry + 2*i), Peer: loopback(base + portEntry + 2*i + 1),
-		Store: loopback(base + portStore), List: loopback(base + portList), Plain: true,
+		Store: loopback(base + portStore), List: loopback(base + portList), PlainText: true,
 	}
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -30,17 +30,17 @@
 
 // Action is the plan for one stream.
 type Action struct {
-	ID  string
-	Way Strategy
-	At  time.Time
+	ID       string
+	Strategy Strategy
+	StartAt  time.Time
 }
 
 // Limits holds the constraints of a plan.
 type Limits struct {
-	Deadline time.Time     // when the engine stops; zero if not known
-	Step     time.Duration // time between two tokens of a stream
-	KVRate   float64       // KV cache tokens that this instance can move per second
-	MoveKV   bool          // whether KV caches may be moved
+	Deadline          time.Time     // when the engine stops; zero if not known
+	TokenInterval     time.Duration // time between two tokens of a stream
+	KVTokensPerSecond float64       // KV cache tokens that this instance can move per second
+	MoveKV            bool          // whether KV caches may be moved
 }
 
 // Parameters of a plan.
@@ -69,12 +69,12 @@
 	var recompute []Stream
 	moveStart := time.Duration(0)
 	for _, s := range streams {
-		finishTime := time.Duration(float64(s.Remaining) * float64(l.Step) * finishTimeFactor)
+		finishTime := time.Duration(float64(s.Remaining) * float64(l.TokenInterval) * finishTimeFactor)
 		if finishTime < left && !l.Deadline.IsZero() {
 			actions = append(actions, Action{s.ID, Finish, now})
 			continue
 		}
-		moveTime := time.Duration(float64(s.KVTokens) / max(l.KVRate, 1) * float64(time.Second))
+		moveTime := time.Duration(float64(s.KVTokens) / max(l.KVTokensPerSecond, 1) * float64(time.Second))
 		if !l.MoveKV || moveStart+moveTime > left {
 			recompute = append(recompute, s)
 			continue
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -21,7 +21,7 @@
 				KVTokens:  rapid.IntRange(1, 50_000).Draw(t, "kv"),
 			})
 		}
-		l := Limits{Deadline: t0.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "notice")) * time.Second), Step: 10 * time.Millisecond, KVRate: 20_000, MoveKV: rapid.Bool().Draw(t, "move")}
+		l := Limits{Deadline: t0.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "notice")) * time.Second), TokenInterval: 10 * time.Millisecond, KVTokensPerSecond: 20_000, MoveKV: rapid.Bool().Draw(t, "move")}
 		seen := make(map[string]Action)
 		moving := 0
 		kv := make(map[string]int)
@@ -33,10 +33,10 @@
 				t.Fatalf("stream %s planned twice", a.ID)
 			}
 			seen[a.ID] = a
-			if a.At.Before(t0) || (a.At.After(l.Deadline) && a.Way != Finish) {
+			if a.StartAt.Before(t0) || (a.StartAt.After(l.Deadline) && a.Strategy != Finish) {
 				t.Fatalf("stream %s starts outside the notice period", a.ID)
 			}
-			if a.Way == Move {
+			if a.Strategy == Move {
 				moving += kv[a.ID]
 			}
 		}
@@ -46,7 +46,7 @@
 		if !l.MoveKV && moving > 0 {
 			t.Fatal("plan moves KV caches although MoveKV is false")
 		}
-		if left := l.Deadline.Sub(t0).Seconds(); float64(moving) > left*l.KVRate {
+		if left := l.Deadline.Sub(t0).Seconds(); float64(moving) > left*l.KVTokensPerSecond {
 			t.Fatalf("%d KV cache tokens cannot be moved in %v s", moving, left)
 		}
 	})
@@ -54,11 +54,11 @@
 
 func TestShortStreamsStayAndTheLargestMoveFirst(t *testing.T) {
 	is := is.New(t)
-	l := Limits{Deadline: t0.Add(5 * time.Second), Step: 10 * time.Millisecond, KVRate: 10_000, MoveKV: true}
+	l := Limits{Deadline: t0.Add(5 * time.Second), TokenInterval: 10 * time.Millisecond, KVTokensPerSecond: 10_000, MoveKV: true}
 	plan := Plan([]Stream{{"short", 20, 30_000}, {"small", 1000, 5_000}, {"large", 1000, 40_000}, {"largest", 1000, 45_000}}, l, t0)
 	strategy := make(map[string]Strategy)
 	for _, a := range plan {
-		strategy[a.ID] = a.Way
+		strategy[a.ID] = a.Strategy
 	}
 	is.Equal(strategy["short"], Finish)
 	is.Equal(strategy["largest"], Move)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -33,8 +33,8 @@
 
 // Errors of orders. After any other error it is unknown whether the order was carried out.
 var (
-	ErrRefused = errors.New("order refused; nothing was done")
-	ErrSoldOut = errors.New("no capacity for such endpoints in this hall now")
+	ErrRefused    = errors.New("order refused; nothing was done")
+	ErrNoCapacity = errors.New("no capacity for such endpoints in this hall now")
 )
 
 // Timing of the election.
@@ -95,7 +95,7 @@
 }
 
 // ObserveKey records whether the key exists, as a watch or a read of the store reported it.
-func (e *Elector) Saw(taken bool) {
+func (e *Elector) ObserveKey(taken bool) {
 	e.mu.Lock()
 	e.keyTaken = taken
 	e.mu.Unlock()
@@ -113,7 +113,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.token.Fence != fence {
-		event.Log(e.Log, event.DutyTaken, zap.Int64("fence", int64(fence)), zap.Time("until", until))
+		event.Log(e.Log, event.LeaseAcquired, zap.Int64("fence", int64(fence)), zap.Time("until", until))
 	}
 	e.token, e.actUntil = Token{e.Instance, fence}, until
 }
@@ -123,7 +123,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.actUntil = time.Time{}
-	event.Log(e.Log, event.DutyLost, zap.Int64("fence", int64(e.token.Fence)), zap.String("why", why))
+	event.Log(e.Log, event.LeaseLost, zap.Int64("fence", int64(e.token.Fence)), zap.String("why", why))
 }
 
 // deadline returns when a holder must stop acting whose lease was granted or renewed by a call sent
@@ -211,7 +211,7 @@
 	case err == nil:
 		return lease, fence, sent, fence.Era() == e.era
 	case errors.Is(err, store.ErrConflict):
-		e.Saw(true)
+		e.ObserveKey(true)
 		_ = e.Store.End(call, lease) // if this fails the lease expires
 		return 0, 0, sent, false
 	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrNotFound):
@@ -232,7 +232,7 @@
 			return lease, item.Revision, sent, item.Revision.Era() == e.era
 		}
 		if err == nil {
-			e.Saw(true)
+			e.ObserveKey(true)
 			return 0, 0, sent, false
 		}
 		select {
@@ -297,7 +297,7 @@
 			pause = time.Duration(renewFraction * float64(e.TTL))
 		case errors.Is(err, store.ErrNotFound):
 			e.lost("the lease has expired")
-			e.Saw(false)
+			e.ObserveKey(false)
 			return
 		}
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -29,7 +29,7 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		e.Saw(len(items) > 0)
+		e.ObserveKey(len(items) > 0)
 		for {
 			var events []store.Event
 			call, cancel := context.WithTimeout(ctx, 3*time.Second)
@@ -39,7 +39,7 @@
 				break
 			}
 			for _, ev := range events {
-				e.Saw(!ev.Gone)
+				e.ObserveKey(!ev.Deleted)
 			}
 		}
 	}
@@ -178,9 +178,9 @@
 	case x < 0.02:
 		s.SetFaults(name, storetest.Faults{Down: true})
 	case x < 0.03:
-		s.SetFaults(name, storetest.Faults{Busy: true})
+		s.SetFaults(name, storetest.Faults{Refuse: true})
 	case x < 0.05:
-		s.SetFaults(name, storetest.Faults{LoseNext: 1 + rnd.IntN(2), Late: time.Duration(rnd.IntN(3)) * time.Second})
+		s.SetFaults(name, storetest.Faults{LoseNext: 1 + rnd.IntN(2), LateBy: time.Duration(rnd.IntN(3)) * time.Second})
 	case x < 0.06:
 		s.SetFaults(name, storetest.Faults{Slow: time.Duration(rnd.IntN(1500)) * time.Millisecond})
 	case x < 0.07:
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -46,13 +46,13 @@
 
 // Signals are what the headers of a response say about the endpoint itself: whether it is leaving,
 // asks for a pause, or limits the request rate.
-type Statement struct {
+type Signals struct {
 	notice.Notice
 	RateLimit ratelimit.Limit
 }
 
 // Observe is a function that receives the signals of a response, whatever its status.
-type Observe func(s Statement)
+type Observe func(s Signals)
 
 // Client calls endpoints over HTTP.
 type Client struct {
@@ -208,8 +208,8 @@
 
 // signalsOf returns the signals of a response. A response without a rate limit means that there is
 // none, except if it is a refusal: that leaves the limit unknown.
-func signalsOf(resp *http.Response) Statement {
-	s := Statement{Notice: notice.Notice{Leaving: resp.Header.Get(LeavingHeader) != ""}}
+func signalsOf(resp *http.Response) Signals {
+	s := Signals{Notice: notice.Notice{Leaving: resp.Header.Get(LeavingHeader) != ""}}
 	refusal := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	switch values := resp.Header[RateLimitHeader]; {
 	case len(values) > 0:
@@ -218,7 +218,7 @@
 		s.RateLimit = ratelimit.Limit{Kind: ratelimit.Unknown}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		s.RestFor = notice.RetryAfter(resp.Header)
+		s.Backoff = notice.RetryAfter(resp.Header)
 	}
 	return s
 }
--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -19,11 +19,11 @@
 	"github.com/shelfcrank/shelfcrank/internal/ratelimit"
 )
 
-func ignoreSignals(Statement) {}
+func ignoreSignals(Signals) {}
 
 // The signals in the headers of each response are observed, whatever its status, those of responses
 // to load reports included.
-func TestStatementsOfEndpointsAreObserved(t *testing.T) {
+func TestSignalsOfEndpointsAreObserved(t *testing.T) {
 	for _, test := range []struct {
 		status     int
 		leaving    string
@@ -33,8 +33,8 @@
 		{status: 200},
 		{status: 200, leaving: "1", want: notice.Notice{Leaving: true}},
 		{status: 500, leaving: "1", want: notice.Notice{Leaving: true}},
-		{status: 503, leaving: "1", retryAfter: "2", want: notice.Notice{Leaving: true, RestFor: 2 * time.Second}},
-		{status: 503, retryAfter: "0.5", want: notice.Notice{RestFor: 500 * time.Millisecond}},
+		{status: 503, leaving: "1", retryAfter: "2", want: notice.Notice{Leaving: true, Backoff: 2 * time.Second}},
+		{status: 503, retryAfter: "0.5", want: notice.Notice{Backoff: 500 * time.Millisecond}},
 		{status: 503, retryAfter: "soon"},
 		{status: 429, retryAfter: "2"},
 	} {
@@ -50,7 +50,7 @@
 		}))
 		addr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 		var observed notice.Notice
-		observe := func(s Statement) { observed = s.Notice }
+		observe := func(s Signals) { observed = s.Notice }
 		c := New(netx.Transport(netx.TCP{}))
 		_, _ = c.Call(context.Background(), addr, "pay", "text/plain", "k", nil, observe)
 		is.Equal(observed, test.want)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestNothingListeningMeansNotRun(t *testing.T) {
+func TestARefusedConnectionMeansNotRun(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(http.NotFoundHandler())
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
@@ -97,14 +97,14 @@
 	is.Equal(fault.As(err).Kind, fault.KindRefused)
 }
 
-func TestAnEndpointNamesARateLimit(t *testing.T) {
+func TestAnEndpointAnnouncesARateLimit(t *testing.T) {
 	for _, test := range []struct {
 		status int
 		header http.Header
 		want   ratelimit.Limit
 	}{
-		{200, http.Header{RateLimitHeader: {"1.5"}}, ratelimit.Limit{Kind: ratelimit.Named, Rate: 1.5}},
-		{429, http.Header{RateLimitHeader: {"2"}}, ratelimit.Limit{Kind: ratelimit.Named, Rate: 2}},
+		{200, http.Header{RateLimitHeader: {"1.5"}}, ratelimit.Limit{Kind: ratelimit.Limited, Rate: 1.5}},
+		{429, http.Header{RateLimitHeader: {"2"}}, ratelimit.Limit{Kind: ratelimit.Limited, Rate: 2}},
 		{200, nil, ratelimit.Limit{}},
 		{503, nil, ratelimit.Limit{Kind: ratelimit.Unknown}},
 		{200, http.Header{RateLimitHeader: {"few"}}, ratelimit.Limit{Kind: ratelimit.Unknown}},
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -40,7 +40,7 @@
 
 // Options configure an entry instance.
 type Options struct {
-	Settings  settings.Serve
+	Settings  settings.Entry
 	Net       netx.Network
 	Log       *zap.Logger
 	Seed      uint64       // seed of the random numbers
@@ -56,7 +56,7 @@
 	id           string
 	injector     do.Injector
 	loop         *control.Loop
-	peers        *peer.Instance
+	peers        *peer.Transport
 	relay        *relay.Relay
 	gateway      *gateway.Gateway
 	store        *kv.Client
@@ -89,7 +89,7 @@
 	}
 	i.transport = do.MustInvoke[*http.Transport](i.injector)
 	i.loop = do.MustInvoke[*control.Loop](i.injector)
-	i.peers = do.MustInvoke[*peer.Instance](i.injector)
+	i.peers = do.MustInvoke[*peer.Transport](i.injector)
 	i.store = do.MustInvoke[*kv.Client](i.injector)
 	i.platform = do.MustInvoke[*platform.Client](i.injector)
 	i.endpoints = do.MustInvoke[*endpoint.Client](i.injector)
@@ -107,9 +107,9 @@
 	do.Provide(i.injector, func(do.Injector) (*control.Loop, error) {
 		return control.New(member.Member{ID: i.id, Name: s.Name, Hall: s.Hall, Addr: s.Peer}, o.Clock), nil
 	})
-	do.Provide(i.injector, func(do.Injector) (*peer.Instance, error) { return peer.New(o.Net, i.id, o.PeerTLS, o.Clock), nil })
+	do.Provide(i.injector, func(do.Injector) (*peer.Transport, error) { return peer.New(o.Net, i.id, o.PeerTLS, o.Clock), nil })
 	do.Provide(i.injector, func(in do.Injector) (*kv.Client, error) {
-		return kv.New(s.Store, do.MustInvoke[*http.Transport](in), kv.FleetBudget), nil
+		return kv.New(s.Store, do.MustInvoke[*http.Transport](in), kv.TotalRateLimits), nil
 	})
 	do.Provide(i.injector, func(in do.Injector) (*platform.Client, error) {
 		return platform.New(s.List, do.MustInvoke[*http.Transport](in)), nil
@@ -131,7 +131,7 @@
 	do.Provide(i.injector, func(in do.Injector) (*relay.Relay, error) {
 		return relay.New(relay.Options{
 			Self: i.id, Hall: s.Hall, Log: o.Log, Clock: o.Clock, Seed: o.Seed, Switches: o.Switches,
-			Peers:     do.MustInvoke[*peer.Instance](in),
+			Peers:     do.MustInvoke[*peer.Transport](in),
 			Endpoints: do.MustInvoke[*endpoint.Client](in),
 			Control:   do.MustInvoke[*control.Loop](in),
 			Metrics:   do.MustInvoke[*metrics.Metrics](in),
@@ -196,7 +196,7 @@
 	case <-i.reclaimed:
 	}
 	<-i.leavingPublished(runCtx)
-	by := i.loop.Snapshot().LeaveBy
+	by := i.loop.Snapshot().ReclaimDeadline
 	i.event(event.Stopping, zap.Time("by", by))
 	left = i.relay.Leave(runCtx, by)
 	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
@@ -275,7 +275,7 @@
 		child{"loop", i.loop.Serve},
 		child{"effects", func(ctx context.Context) error { return i.loop.Effects(ctx, i.applyEffect) }},
 		child{"watchdog", func(ctx context.Context) error {
-			return i.loop.Watchdog(ctx, func() { i.event(event.ControlWedged) })
+			return i.loop.Watchdog(ctx, func() { i.event(event.ControlLoopStalled) })
 		}},
 	))
 	root.Add(group("platform",
@@ -307,10 +307,10 @@
 		return ctx.Err()
 	}
 	if err := c.Err(); err != nil {
-		i.event(event.ClockStandsStill, zap.Error(err))
+		i.event(event.ClockExcludesSuspensions, zap.Error(err))
 	}
 	return c.Run(ctx, func(resumption clock.Resumption) {
-		i.event(event.Resumed, zap.Duration("stood", resumption.Stood), zap.Duration("suspended", resumption.Suspended), zap.Int("ended", resumption.Ended))
+		i.event(event.ProcessResumed, zap.Duration("stood", resumption.Stalled), zap.Duration("suspended", resumption.Suspended), zap.Int("ended", resumption.Ended))
 	})
 }
 
@@ -325,10 +325,10 @@
 func (i *Instance) applyEffect(e control.Effect) {
 	i.relay.ApplyEffect(e)
 	switch e := e.(type) {
-	case control.TableInForce:
+	case control.TableActivated:
 		i.event(event.TableInForce, zap.Uint64("revision", e.Revision))
 		i.requestHeartbeat()
-	case control.ViewInForce:
+	case control.ViewActivated:
 		i.requestHeartbeat()
 	case control.MemberChanged:
 		i.memberChanged(e)
@@ -336,7 +336,7 @@
 		i.event(event.EndpointJoined, zap.String("endpoint", e.Endpoint.ID))
 	case control.EndpointLeaving:
 		i.requestHeartbeat()
-	case control.EndpointGone:
+	case control.EndpointRemoved:
 		i.event(event.EndpointGone, zap.String("endpoint", e.Endpoint.ID))
 	case control.SelfLeaving:
 		i.requestHeartbeat()
@@ -348,14 +348,14 @@
 
 func (i *Instance) memberChanged(e control.MemberChanged) {
 	c := e.Change
-	i.store.SetFleet(1 + len(i.loop.Snapshot().Members))
+	i.store.SetProcessCount(1 + len(i.loop.Snapshot().Members))
 	code := event.PeerJoined
 	switch {
-	case c.Left:
+	case c.StartedLeaving:
 		code = event.PeerLeaving
 	case c.Member.State == member.Dead:
 		code = event.PeerDead
-		i.peers.Forget(c.Member.Addr)
+		i.peers.CloseSession(c.Member.Addr)
 	case c.Member.State == member.Suspect:
 		code = event.PeerSuspect
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -35,7 +35,7 @@
 // not know yet, at an interval that depends on the fleet's size and at once when there is an update,
 // until ctx ends. At most one heartbeat to an address is in flight.
 func (i *Instance) heartbeats(ctx context.Context) error {
-	t := time.NewTimer(member.HeartbeatEvery)
+	t := time.NewTimer(member.MeshHeartbeatInterval)
 	defer t.Stop()
 	calls := inflight.New[netip.AddrPort]()
 	var wait sync.WaitGroup
@@ -46,13 +46,13 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-t.C:
-			t.Reset(member.Every(len(i.loop.Snapshot().Members)))
+			t.Reset(member.HeartbeatInterval(len(i.loop.Snapshot().Members)))
 			all = false
 		case <-i.heartbeatNow:
 			all = true // there is an update
 		}
 		i.heartbeatSeq.Add(1)
-		i.peers.Tidy(i.opts.Clock.Now())
+		i.peers.CloseIdle(i.opts.Clock.Now())
 		for _, addr := range i.heartbeatTargets(all) {
 			if !calls.Begin(addr) {
 				continue
@@ -79,7 +79,7 @@
 	}
 	var out []netip.AddrPort
 	for _, m := range l.Neighbours() {
-		mutual := len(s.Members) < member.FullMesh // in a larger fleet, a neighbour may not have this instance as its neighbour
+		mutual := len(s.Members) < member.FullMeshLimit // in a larger fleet, a neighbour may not have this instance as its neighbour
 		if all || !mutual || s.Self.ID < m.ID || m.State != member.Alive {
 			out = append(out, m.Addr)
 		}
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, n := range i.loop.RecentLeaving() {
-		h.Leaving = append(h.Leaving, &peerpb.Leaving{Endpoint: n.ID, Incarnation: n.Incarnation, Deadline: peer.Nanos(n.Deadline)})
+		h.Leaving = append(h.Leaving, &peerpb.Leaving{Endpoint: n.ID, Incarnation: n.Incarnation, Deadline: peer.ToUnixNano(n.Deadline)})
 	}
 	for _, u := range i.gateway.Usage(i.opts.Clock.Now()) {
 		if u.Open == 0 && u.Rate < minReportedRate {
@@ -139,7 +139,7 @@
 		e.Members = append(e.Members, fromWire(m))
 	}
 	for _, l := range h.Leaving {
-		e.Leaving = append(e.Leaving, platform.Notice{ID: l.Endpoint, Incarnation: l.Incarnation, Deadline: peer.Time(l.Deadline)})
+		e.Leaving = append(e.Leaving, platform.Notice{ID: l.Endpoint, Incarnation: l.Incarnation, Deadline: peer.FromUnixNano(l.Deadline)})
 	}
 	for _, u := range h.Usage {
 		e.Usage = append(e.Usage, admit.Usage{Account: u.Account, Rate: u.Rate, Tokens: u.Tokens, Open: int(u.Open)})
@@ -157,7 +157,7 @@
 func wireMember(m member.Member) *peerpb.Member {
 	return &peerpb.Member{
 		Id: m.ID, Name: m.Name, Hall: m.Hall, Address: m.Addr.String(), Leaving: m.Leaving,
-		TableRevision: m.TableRevision, ViewEpoch: m.ViewEpoch, Beat: m.Beat,
+		TableRevision: m.TableRevision, ViewEpoch: m.ViewEpoch, Beat: m.HeartbeatSeq,
 	}
 }
 
@@ -165,7 +165,7 @@
 	addr, _ := netip.ParseAddrPort(m.Address) // the zero address of an invalid one cannot be dialled
 	return member.Member{
 		ID: m.Id, Name: m.Name, Hall: m.Hall, Addr: addr, Leaving: m.Leaving,
-		TableRevision: m.TableRevision, ViewEpoch: m.ViewEpoch, Beat: m.Beat,
+		TableRevision: m.TableRevision, ViewEpoch: m.ViewEpoch, HeartbeatSeq: m.Beat,
 	}
 }
 
@@ -223,7 +223,7 @@
 	sent, received := i.peers.Bytes()
 	out := gateway.Status{
 		Instance: i.id, Hall: s.Self.Hall, Leaving: s.Leaving, Revision: s.Self.TableRevision, Epoch: s.Self.ViewEpoch,
-		Records: i.relay.Store().Len(), Claims: i.relay.Claims(), SentBytes: sent, GotBytes: received,
+		Records: i.relay.Store().Len(), Claims: i.relay.Claims(), SentBytes: sent, ReceivedBytes: received,
 	}
 	for _, m := range i.loop.Members(ctx) {
 		out.Members = append(out.Members, gateway.StatusMember{
@@ -243,7 +243,7 @@
 	var out []gateway.StatusEndpoint
 	for _, h := range p.Halls {
 		for _, e := range h.Endpoints {
-			out = append(out, gateway.StatusEndpoint{ID: e.ID, Hall: e.Hall, Serves: p.Model, Open: e.Open(), Running: e.Load().Running, Resting: e.Resting(now)})
+			out = append(out, gateway.StatusEndpoint{ID: e.ID, Hall: e.Hall, Serves: p.Model, Open: e.Open(), Running: e.Load().Running, Unavailable: e.Unavailable(now)})
 		}
 	}
 	return out
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -37,7 +37,7 @@
 				p = &reportCursor{}
 			}
 			current[e] = p
-			if e.AskedForRest(i.opts.Clock.Now()) || !calls.Begin(e) {
+			if e.Paused(i.opts.Clock.Now()) || !calls.Begin(e) {
 				continue
 			}
 			wait.Go(func() {
@@ -46,7 +46,7 @@
 			})
 		}
 		polls = current
-		sleep(ctx, reportInterval*time.Duration(1+len(s.Members)/member.FullMesh))
+		sleep(ctx, reportInterval*time.Duration(1+len(s.Members)/member.FullMeshLimit))
 	}
 	return ctx.Err()
 }
@@ -62,12 +62,12 @@
 }
 
 func (i *Instance) readReport(ctx context.Context, e *route.Endpoint, p *reportCursor) {
-	mark, at := e.Mark(), i.opts.Clock.Now()
+	mark, at := e.PendingTokens(), i.opts.Clock.Now()
 	rep, err := i.endpoints.Report(ctx, e.Addr, p.since, i.relay.Observer(e))
 	if err != nil {
 		return // routing adds a penalty to an endpoint whose last report is old
 	}
-	l := route.Load{At: at, Running: rep.Running, PerToken: time.Duration(rep.PerTokenUs) * time.Microsecond, Step: time.Duration(rep.StepUs) * time.Microsecond}
+	l := route.Load{At: at, Running: rep.Running, PromptTokenTime: time.Duration(rep.PerTokenUs) * time.Microsecond, TokenInterval: time.Duration(rep.StepUs) * time.Microsecond}
 	copy(l.QueuedTokens[:], rep.QueuedTokens)
 	e.Report(l, mark)
 	for _, ev := range rep.Events {
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -36,10 +36,10 @@
 		}
 		until := time.Now().Add(24 * time.Hour)
 		is.NoErr(keys.MakeAuthority(dir, until))
-		is.NoErr(keys.MakeEntry(dir, name, nil, until))
+		is.NoErr(keys.MakeEntryCertificate(dir, name, nil, until))
 		l, err := keys.NewLoader(keys.Files{Authority: filepath.Join(dir, keys.AuthorityCert), Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+"-key.pem")})
 		is.NoErr(err)
-		return l.Peers()
+		return l.PeerConfig()
 	}
 	mem := netx.NewMem(func(string, string) time.Duration { return time.Millisecond })
 	e, err := experiment.StartEmbedded(experiment.EmbeddedOptions{Spec: spec, Base: 20000, Site: mem.Site, Log: zap.NewNop(), Seed: 1, PeerTLS: peerTLS})
@@ -62,8 +62,8 @@
 	transport := netx.Transport(mem.Site("client"))
 	b := traffic.NewBalancer(transport, e.Callers()[:3], 1)
 	b.Probe(context.Background())
-	o := traffic.NewClient(transport, b).Do(context.Background(), traffic.Call{Key: "voltra-north-key", IdemKey: "one", Path: "cabinet/unlock", Body: "b", Deadline: time.Now().Add(5 * time.Second)})
-	if !o.Whole {
+	o := traffic.NewClient(transport, b).Do(context.Background(), traffic.Call{Key: "voltra-north-key", IdempotencyKey: "one", Path: "cabinet/unlock", Body: "b", Deadline: time.Now().Add(5 * time.Second)})
+	if !o.Complete {
 		t.Errorf("unlock: %v (keepers ready: %v %v %v)", o.Err, e.Entry(0).Relay().KeeperReady(), e.Entry(1).Relay().KeeperReady(), e.Entry(2).Relay().KeeperReady())
 	}
 	transport.CloseIdleConnections()
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -56,7 +56,7 @@
 		}
 		b.Reset()
 		if i.storeOK.CompareAndSwap(false, true) {
-			i.event(event.StoreBack)
+			i.event(event.StoreRecovered)
 		}
 		after = max(after, e.Revision)
 		i.applyTable(ctx, e)
@@ -88,7 +88,7 @@
 		}
 		b.Reset()
 		i.list.Store(&list)
-		i.loop.Send(ctx, control.ListRead{Instances: list})
+		i.loop.Send(ctx, control.InstanceListRead{Instances: list})
 		sleep(ctx, listInterval)
 	}
 	return ctx.Err()
--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -279,7 +279,7 @@
 	sum := 0.0
 	for i := range b.spec.Entries {
 		if s, err := b.procs.Status(ctx, i); err == nil {
-			sum += float64(s.SentBytes + s.GotBytes)
+			sum += float64(s.SentBytes + s.ReceivedBytes)
 		}
 	}
 	return sum
@@ -312,9 +312,9 @@
 			b.record(b.direct, took)
 		}
 		start := time.Now()
-		o := b.client.Do(ctx, traffic.Call{Class: class, Key: key, Model: class, Prompt: prompt + " via", User: prompt, Max: 1, Deadline: start.Add(10 * time.Second)})
-		if o.Whole {
-			b.record(b.via, o.First.Sub(start))
+		o := b.client.Do(ctx, traffic.Call{Class: class, Key: key, Model: class, Prompt: prompt + " via", User: prompt, MaxTokens: 1, Deadline: start.Add(10 * time.Second)})
+		if o.Complete {
+			b.record(b.via, o.FirstAt.Sub(start))
 		}
 		select {
 		case <-time.After(overheadGap):
@@ -332,7 +332,7 @@
 func directCall(ctx context.Context, addr netip.AddrPort, prompt string, priority int) (time.Duration, bool) {
 	c := directClient()
 	start := time.Now()
-	s, err := c.Generate(ctx, addr, generate(prompt, priority), func(endpoint.Statement) {})
+	s, err := c.Generate(ctx, addr, generate(prompt, priority), func(endpoint.Signals) {})
 	if err != nil {
 		return 0, false
 	}
--- a/internal/experiment/chaos_test.go
+++ b/internal/experiment/chaos_test.go
@@ -53,10 +53,10 @@
 	scale  float64 // of the traffic
 
 	mu       sync.Mutex
-	rnd      *rand.Rand                    // guarded by mu
-	down     map[int]bool                  // entry instances that are not running; guarded by mu
-	machines map[string]*clocktest.Machine // of the entry instances that run, by name; guarded by mu
-	faults   []string                      // guarded by mu
+	rnd      *rand.Rand                       // guarded by mu
+	down     map[int]bool                     // entry instances that are not running; guarded by mu
+	machines map[string]*clocktest.TimeSource // of the entry instances that run, by name; guarded by mu
+	faults   []string                         // guarded by mu
 	wait     sync.WaitGroup
 }
 
@@ -97,7 +97,7 @@
 		}
 	})
 	core, logs := observer.New(zapcore.InfoLevel)
-	c := &chaos{t: t, rnd: rand.New(rand.NewPCG(seed, 77)), spec: spec, mem: mem, logs: logs, scale: chaosScale, down: make(map[int]bool), machines: make(map[string]*clocktest.Machine)}
+	c := &chaos{t: t, rnd: rand.New(rand.NewPCG(seed, 77)), spec: spec, mem: mem, logs: logs, scale: chaosScale, down: make(map[int]bool), machines: make(map[string]*clocktest.TimeSource)}
 	c.e, err = StartEmbedded(EmbeddedOptions{Spec: spec, Base: chaosBase, Site: mem.Site, Log: zap.New(core), Seed: seed, Switches: sw, System: system, Clock: c.clock})
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 		c.wait.Go(func() {
 			time.Sleep(notice) // the platform takes the instance at the deadline
 			c.e.KillEntry(i, c.mem.Kill)
-			c.e.World.Gone(c.spec.Entry(chaosBase, i).Name)
+			c.e.World.MarkGone(c.spec.Entry(chaosBase, i).Name)
 		})
 	}
 }
@@ -280,7 +280,7 @@
 	case 2:
 		f.StoreLoseAnswer = 0.5
 	default:
-		f.StoreOld = true
+		f.StoreStale = true
 	}
 	f.ListFrozen = c.draw(3) == 0
 	f.RefuseKVImport = 0.3
@@ -289,7 +289,7 @@
 	c.wait.Go(func() {
 		sleepCtx(ctx, d)
 		f := c.e.World.Faults()
-		f.StoreDown, f.StoreSlowMs, f.StoreLoseAnswer, f.StoreOld, f.ListFrozen, f.RefuseKVImport = false, 0, 0, false, false, 0
+		f.StoreDown, f.StoreSlowMs, f.StoreLoseAnswer, f.StoreStale, f.ListFrozen, f.RefuseKVImport = false, 0, 0, false, false, 0
 		c.e.World.SetFaults(f)
 	})
 }
--- a/internal/experiment/deadly_test.go
+++ b/internal/experiment/deadly_test.go
@@ -34,7 +34,7 @@
 		var all sync.WaitGroup
 		for n := range 12 {
 			all.Go(func() {
-				c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: deadlyPrompt, Max: 100, User: fmt.Sprint("u", n), Deadline: time.Now().Add(8 * time.Second)})
+				c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: deadlyPrompt, MaxTokens: 100, User: fmt.Sprint("u", n), Deadline: time.Now().Add(8 * time.Second)})
 			})
 			sleepCtx(ctx, time.Second)
 		}
--- a/internal/experiment/promises_test.go
+++ b/internal/experiment/promises_test.go
@@ -51,10 +51,10 @@
 	for n := range longCalls {
 		prompt := fmt.Sprintf("a long story, number %d", n)
 		all.Go(func() {
-			o := c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: prompt, Max: 700, User: prompt, Deadline: time.Now().Add(40 * time.Second)})
+			o := c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: prompt, MaxTokens: 700, User: prompt, Deadline: time.Now().Add(40 * time.Second)})
 			mu.Lock()
 			defer mu.Unlock()
-			if !o.Whole || o.Body != standin.Answer(prompt, 700) {
+			if !o.Complete || o.Body != standin.Answer(prompt, 700) {
 				lost++
 			}
 		})
@@ -107,7 +107,7 @@
 		body := fmt.Sprintf("charge %d", n)
 		for range 4 {
 			all.Go(func() {
-				o := c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, IdemKey: body, Path: path, Body: body, Deadline: time.Now().Add(8 * time.Second)})
+				o := c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, IdempotencyKey: body, Path: path, Body: body, Deadline: time.Now().Add(8 * time.Second)})
 				mu.Lock()
 				answers[body] = append(answers[body], o)
 				mu.Unlock()
@@ -136,12 +136,12 @@
 				c.wait.Go(func() { c.store(ctx, 5*time.Second) })
 				for body, outcomes := range repeatCalls(c, ctx, 100) {
 					for _, o := range outcomes {
-						if o.Whole {
+						if o.Complete {
 							whole++
 							if o.Body != standin.ServiceAnswer("payment", body) {
 								t.Errorf("%s got another's answer", body)
 							}
-						} else if o.Run != "may_have_run" && tt.wantOnce && c.e.World.Runs("payment", body) > 0 && o.Run == "not_run" {
+						} else if o.RunState != "may_have_run" && tt.wantOnce && c.e.World.Runs("payment", body) > 0 && o.RunState == "not_run" {
 							t.Errorf("%s ran, but a caller was told not_run", body)
 						}
 					}
@@ -164,7 +164,7 @@
 				c.e.World.ReclaimHall(c.spec.Halls[1], time.Now().Add(1500*time.Millisecond), false)
 			})
 			is.Equal(lost, 0)
-			is.True(c.logs.FilterMessage(eventMessage(event.RequestResumed)).Len() > 0)
+			is.True(c.logs.FilterMessage(eventMessage(event.StreamResumed)).Len() > 0)
 		}, table.Cell{Column: table.ColMoveKV, Value: move})
 		is.Equal(broken, nil)
 		is.Equal(truth.KVMoves > 0, move == "true")
@@ -232,7 +232,7 @@
 		is.Equal(c.e.StopEntry(3), 0)
 		is.NoErr(c.e.StartEntry(3)) // has to get the table from a peer
 		time.Sleep(5 * time.Second)
-		c.e.World.SetFaults(standin.Faults{StoreOld: true})
+		c.e.World.SetFaults(standin.Faults{StoreStale: true})
 		time.Sleep(5 * time.Second)
 		last := latest(c)
 		for i := range c.spec.Entries {
@@ -261,7 +261,7 @@
 			for n := range raceCount {
 				e := gateway.EditRequest{ID: fmt.Sprintf("racing-%d-%d", op, n), Op: "set", Row: rows[(op+n)%len(rows)], Column: table.ColPriority, Value: fmt.Sprint(1 + n%9)}
 				if n%2 == 0 {
-					e.HasWas, e.Was = true, fmt.Sprint(1+op%9)
+					e.HasExpected, e.Expected = true, fmt.Sprint(1+op%9)
 				}
 				status, err := operatorCall(c, h, (op+n)%c.spec.Entries, http.MethodPost, "/operator/edits", e, &struct{}{})
 				mu.Lock()
@@ -343,7 +343,7 @@
 	s.value, s.rev = v, s.rev+1
 	if s.lose {
 		s.lose = false
-		return 0, errors.Join(kv.ErrUnknown, errors.New("connection reset"))
+		return 0, errors.Join(kv.ErrUnknownOutcome, errors.New("connection reset"))
 	}
 	return s.rev, nil
 }
@@ -375,7 +375,7 @@
 		for _, outcomes := range repeatCalls(c, ctx, 60) {
 			for _, o := range outcomes {
 				after++
-				if o.Whole {
+				if o.Complete {
 					answered++
 				} else {
 					t.Logf("not answered after the cut: %v", o.Err)
@@ -423,13 +423,13 @@
 		for n := range 120 {
 			prompt := fmt.Sprintf("story %d", n)
 			all.Go(func() {
-				o := c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: prompt, Max: 300, User: prompt, Deadline: time.Now().Add(30 * time.Second)})
+				o := c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: prompt, MaxTokens: 300, User: prompt, Deadline: time.Now().Add(30 * time.Second)})
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case o.Whole && o.Body == standin.Answer(prompt, 300):
+				case o.Complete && o.Body == standin.Answer(prompt, 300):
 					whole++
-				case !o.Accepted && o.Run == "not_run":
+				case !o.Accepted && o.RunState == "not_run":
 					refused++
 				default:
 					lost++
@@ -437,7 +437,7 @@
 			})
 		}
 		all.Wait()
-	}, table.Cell{Column: table.ColRecords, Value: "10"})
+	}, table.Cell{Column: table.ColRecordCapacity, Value: "10"})
 	t.Logf("whole %d, refused %d, lost %d", whole, refused, lost)
 	is.True(refused > 0)
 	is.True(whole > 0)
@@ -452,10 +452,10 @@
 	directed(t, "bazaarline", relay.Switches{}, func(c *chaos, ctx context.Context) {
 		pay := func(n int) traffic.Outcome {
 			body := fmt.Sprintf("charge %d", n)
-			return c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, IdemKey: body, Path: "till/payment", Body: body, Deadline: time.Now().Add(8 * time.Second)})
+			return c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, IdempotencyKey: body, Path: "till/payment", Body: body, Deadline: time.Now().Add(8 * time.Second)})
 		}
 		for n := range calls {
-			if o := pay(n); !o.Whole {
+			if o := pay(n); !o.Complete {
 				t.Errorf("payment %d: %v", n, o.Err)
 			}
 		}
@@ -467,7 +467,7 @@
 		sleepCtx(ctx, 2*time.Second)
 		for n := range calls {
 			body := fmt.Sprintf("charge %d", n)
-			if o := pay(n); !o.Whole || o.Body != standin.ServiceAnswer("payment", body) {
+			if o := pay(n); !o.Complete || o.Body != standin.ServiceAnswer("payment", body) {
 				t.Errorf("payment %d again: %q %v", n, o.Body, o.Err)
 			}
 			if runs := c.e.World.Runs("payment", body); runs != 1 {
@@ -486,7 +486,7 @@
 		tally := c.run(4, func(ctx context.Context, _ time.Time) { <-ctx.Done() })
 		left := func() (n int) {
 			for i := range c.spec.Entries {
-				n += len(c.e.Entry(i).Relay().Store().All(func(r *record.Record) bool { return r.Repeatable }))
+				n += len(c.e.Entry(i).Relay().Store().Filter(func(r *record.Record) bool { return r.Repeatable }))
 			}
 			return n
 		}
@@ -509,7 +509,7 @@
 		c.e.World.SetFaults(standin.Faults{ListFrozen: true})
 		set, err := c.spec.StandIns(chaosBase, 1)
 		is.NoErr(err)
-		for _, p := range []standin.Place{set.Engine[0], set.Service[0]} {
+		for _, p := range []standin.InstanceSpec{set.Engine[0], set.Service[0]} {
 			c.e.World.LeaveQuietly(p.ID)
 			left++
 		}
--- a/internal/experiment/ratelimit_test.go
+++ b/internal/experiment/ratelimit_test.go
@@ -20,12 +20,12 @@
 		sleepCtx(ctx, 2*time.Second)
 		limited := []string{set.Engine[0].ID, set.Engine[1].ID, set.Service[0].ID}
 		for i, id := range limited {
-			c.e.World.NameRateLimit(id, 0.5+0.5*float64(i))
+			c.e.World.SetRateLimit(id, 0.5+0.5*float64(i))
 		}
 		sleepCtx(ctx, 14*time.Second)
 		violations = c.e.World.RateLimitViolations()
 		for _, id := range limited {
-			c.e.World.LiftRateLimit(id)
+			c.e.World.ClearRateLimit(id)
 		}
 		sleepCtx(ctx, 4*time.Second)
 	})
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -188,7 +188,7 @@
 }
 
 func storeOutage(ctx context.Context, b *bench, length time.Duration) {
-	for _, f := range []standin.Faults{{StoreDown: true, ListFrozen: true}, {StoreSlowMs: 700}, {StoreLoseAnswer: 0.5}, {StoreOld: true}} {
+	for _, f := range []standin.Faults{{StoreDown: true, ListFrozen: true}, {StoreSlowMs: 700}, {StoreLoseAnswer: 0.5}, {StoreStale: true}} {
 		if !pauseFor(ctx, length/10) {
 			return
 		}
--- a/internal/experiment/tablerace.go
+++ b/internal/experiment/tablerace.go
@@ -162,7 +162,7 @@
 		Column: table.ColRetryShare, Value: fmt.Sprintf("0.%d", 1+rnd.IntN(9)),
 	}
 	if rnd.IntN(2) == 0 {
-		e.HasWas, e.Was = true, fmt.Sprintf("0.%d", 1+rnd.IntN(9))
+		e.HasExpected, e.Expected = true, fmt.Sprintf("0.%d", 1+rnd.IntN(9))
 	}
 	if rnd.IntN(20) == 0 {
 		e.Value = "7" // outside the range
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -85,8 +85,8 @@
 	return &Error{Step: step, Peer: peer, Kind: kind, Run: run, Err: fmt.Errorf(format, args...)}
 }
 
-// Retry sets the earliest useful time for a retry and returns e.
-func (e *Error) Retry(at time.Time) *Error {
+// WithRetryAt sets the earliest useful time for a retry and returns e.
+func (e *Error) WithRetryAt(at time.Time) *Error {
 	e.RetryAt = at
 	return e
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,23 +20,23 @@
 
 // Hall holds the endpoints of a service in a hall.
 type Hall struct {
-	Name          string
-	Price         float64 // of one endpoint for a second
-	Spot          int     // spot endpoints that accept requests
-	Regular       int     // regular endpoints that accept requests
-	SpotComing    int     // spot endpoints that were ordered and are starting
-	RegularComing int     // regular endpoints that were ordered and are starting
+	Name            string
+	Price           float64 // of one endpoint for a second
+	Spot            int     // spot endpoints that accept requests
+	Regular         int     // regular endpoints that accept requests
+	SpotStarting    int     // spot endpoints that were ordered and are starting
+	RegularStarting int     // regular endpoints that were ordered and are starting
 }
 
 // Input is the state that a plan is computed from. Loads are averages over the last seconds, in numbers
 // of endpoints that they would keep busy.
 type Input struct {
-	Min, Max  int     // bounds of the number of endpoints in a hall
-	SpotPrice float64 // price of a spot endpoint as a share of the regular price; 0 if there are no spot endpoints
-	Halls     []Hall
-	Busy      float64 // load of processing prompts
-	Held      float64 // load of the slots that requests hold after their prompt was processed
-	Known     bool    // there is traffic, so that the loads are meaningful
+	Min, Max    int     // bounds of the number of endpoints in a hall
+	SpotPrice   float64 // price of a spot endpoint as a share of the regular price; 0 if there are no spot endpoints
+	Halls       []Hall
+	PrefillLoad float64 // load of processing prompts
+	SlotLoad    float64 // load of the slots that requests hold after their prompt was processed
+	LoadKnown   bool    // there is traffic, so that the loads are meaningful
 }
 
 // occupancy returns the number of endpoints that the load would fill. SlotLoad is measured while
@@ -46,9 +46,9 @@
 	running := lo.SumBy(in.Halls, func(h Hall) int { return h.Spot + h.Regular })
 	prefillShare := maxPrefillShare
 	if running > 0 {
-		prefillShare = min(prefillShare, in.Busy/float64(running))
+		prefillShare = min(prefillShare, in.PrefillLoad/float64(running))
 	}
-	return in.Busy + in.Held*(1-prefillShare)
+	return in.PrefillLoad + in.SlotLoad*(1-prefillShare)
 }
 
 // Target is the planned number of endpoints in a hall.
@@ -117,18 +117,22 @@
 func New() *Planner { return &Planner{spotRetryAt: make(map[string]time.Time)} }
 
 // SpotRefused records that no spot endpoints are available in a hall now.
-func (p *Planner) Refused(hall string, now time.Time) { p.spotRetryAt[hall] = now.Add(spotRetryDelay) }
+func (p *Planner) SpotRefused(hall string, now time.Time) {
+	p.spotRetryAt[hall] = now.Add(spotRetryDelay)
+}
 
 // SpotGranted records that a hall provides spot endpoints again.
-func (p *Planner) Accepted(hall string) { delete(p.spotRetryAt, hall) }
+func (p *Planner) SpotGranted(hall string) { delete(p.spotRetryAt, hall) }
 
 // MayRequestSpot reports whether spot endpoints may be requested in a hall now.
-func (p *Planner) MayAsk(hall string, now time.Time) bool { return !now.Before(p.spotRetryAt[hall]) }
+func (p *Planner) MayRequestSpot(hall string, now time.Time) bool {
+	return !now.Before(p.spotRetryAt[hall])
+}
 
 // Plan returns the planned number of endpoints in each hall, cheapest hall first. For a SpotPrice that
 // is not between 0 and 1 it plans regular endpoints only.
 func (p *Planner) Plan(in Input, now time.Time) []Target {
-	if in.Known && p.trafficSince.IsZero() {
+	if in.LoadKnown && p.trafficSince.IsZero() {
 		p.trafficSince = now
 		if p.initialCount == 0 {
 			// There is traffic already, but its peak load has not been seen yet.
@@ -139,7 +143,7 @@
 		// The load is not known yet: plan for the middle of the configured bounds.
 		p.initialCount = max(lo.SumBy(in.Halls, func(h Hall) int { return h.Regular }), len(in.Halls)*(in.Min+in.Max)/2)
 	}
-	p.prefillPeaks.add(in.Busy, now)
+	p.prefillPeaks.add(in.PrefillLoad, now)
 	p.occupancyPeaks.add(in.occupancy(), now)
 	prefill, occupied := p.prefillPeaks.maxWithin(spotPeakWindow, now), p.occupancyPeaks.maxWithin(spotPeakWindow, now)
 	if in.SpotPrice <= 0 || in.SpotPrice >= 1 {
@@ -234,8 +238,8 @@
 	for i, t := range targets {
 		h := hallNamed(in, t.Hall)
 		spot += h.Spot
-		starting += h.SpotComing
-		targets[i].Regular = h.Regular + h.RegularComing
+		starting += h.SpotStarting
+		targets[i].Regular = h.Regular + h.RegularStarting
 		committed += targets[i].Regular
 	}
 	missing := need - spot - starting - committed
@@ -274,7 +278,7 @@
 		total++
 		best := -1
 		for i, t := range targets { // cheapest hall first
-			if h := hallNamed(in, t.Hall); h.Spot+h.SpotComing+t.Regular >= in.Max {
+			if h := hallNamed(in, t.Hall); h.Spot+h.SpotStarting+t.Regular >= in.Max {
 				continue
 			}
 			if best < 0 || targets[best].Regular >= (total+1)/2 && t.Regular < targets[best].Regular {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -35,7 +35,7 @@
 func TestEnoughIsLeftWhenAnyHallIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		busy := rapid.Float64Range(0, 6).Draw(t, "busy")
-		in := Input{Min: 1, Max: 30, SpotPrice: 0.2, Halls: halls(3, 0), Busy: busy, Known: true}
+		in := Input{Min: 1, Max: 30, SpotPrice: 0.2, Halls: halls(3, 0), PrefillLoad: busy, LoadKnown: true}
 		spot, _, most := sums(New().Plan(in, time.Unix(1000, 0)))
 		if float64(spot-most) < spotFactor*busy {
 			t.Fatalf("%d endpoints, %d in one hall, for a load of %.1f", spot, most, busy)
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestOthersStayUntilReclaimableOnesTakeWork(t *testing.T) {
+func TestRegularEndpointsStayUntilSpotOnesAcceptRequests(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
@@ -51,7 +51,7 @@
 	_, regular, _ := sums(p.Plan(in, now))
 	is.Equal(regular, 12)
 	for i := range in.Halls {
-		in.Halls[i].SpotComing = 3
+		in.Halls[i].SpotStarting = 3
 	}
 	_, regular, _ = sums(p.Plan(in, now.Add(time.Second)))
 	is.Equal(regular, 12) // starting ones do not accept requests yet
@@ -60,11 +60,11 @@
 	is.Equal(regular, 0)
 }
 
-func TestOthersGoOnlyWhenNeedlessForAWhile(t *testing.T) {
+func TestRegularEndpointsAreRemovedOnlyAfterALastingSurplus(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
-	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(4, 2), Busy: 3, Known: true}
+	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(4, 2), PrefillLoad: 3, LoadKnown: true}
 	_, regular, _ := sums(p.Plan(in, now))
 	is.Equal(regular, 8)
 	_, regular, _ = sums(p.Plan(in, now.Add(surplusHold+time.Second)))
@@ -73,19 +73,19 @@
 
 // All halls lose their spot endpoints and refuse new ones: the plan must not remove what it has just
 // ordered each time that spot endpoints may be requested again.
-func TestThePlanDoesNotWaverWhileNoneAreToBeHad(t *testing.T) {
+func TestThePlanIsStableWhileNoSpotEndpointsAreAvailable(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
-	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(8, 0), Busy: 8, Known: true}
+	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(8, 0), PrefillLoad: 8, LoadKnown: true}
 	p.Plan(in, now)
 	in.Halls = halls(0, 0)
 	last := 0
 	for range 100 {
 		now = now.Add(200 * time.Millisecond)
 		for _, h := range in.Halls {
-			if p.MayAsk(h.Name, now) {
-				p.Refused(h.Name, now)
+			if p.MayRequestSpot(h.Name, now) {
+				p.SpotRefused(h.Name, now)
 			}
 		}
 		targets := p.Plan(in, now)
@@ -95,41 +95,41 @@
 		for i := range in.Halls {
 			for _, target := range targets {
 				if target.Hall == in.Halls[i].Name {
-					in.Halls[i].RegularComing = target.Regular
+					in.Halls[i].RegularStarting = target.Regular
 				}
 			}
 		}
 	}
-	is.Equal(last, needed(in.Busy))
+	is.Equal(last, needed(in.PrefillLoad))
 }
 
-func TestOthersAreOrderedBeforeTheNextHallGoes(t *testing.T) {
+func TestRegularEndpointsAreOrderedBeforeTheNextHallIsLost(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
-	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(4, 0), Busy: 4, Known: true}
+	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(4, 0), PrefillLoad: 4, LoadKnown: true}
 	in.Halls[0].Spot = 0
-	p.Refused("a", now)
+	p.SpotRefused("a", now)
 	_, regular, _ := sums(p.Plan(in, now))
-	is.True(needed(in.Busy) <= 8)
-	is.Equal(regular, int(math.Ceil(in.Busy/twoLossLoad))-4) // after the loss of one or two halls, eight or four of twelve would remain
+	is.True(needed(in.PrefillLoad) <= 8)
+	is.Equal(regular, int(math.Ceil(in.PrefillLoad/twoLossLoad))-4) // after the loss of one or two halls, eight or four of twelve would remain
 	in.Halls[1].Spot = 0
 	_, regular, _ = sums(p.Plan(in, now))
-	is.True(regular >= int(math.Ceil(in.Busy/oneLossLoad))-4) // any of the other halls may be lost next
-	is.Equal(regular, int(math.Ceil(in.Busy/twoLossLoad)))    // or both that have endpoints
+	is.True(regular >= int(math.Ceil(in.PrefillLoad/oneLossLoad))-4) // any of the other halls may be lost next
+	is.Equal(regular, int(math.Ceil(in.PrefillLoad/twoLossLoad)))    // or both that have endpoints
 }
 
 // The two halls that still have spot endpoints may be lost within a second while none are available.
 // The regular endpoints must carry the load then; planned for the loss of one hall, they had 1.5 times
 // as much to carry.
-func TestTheLossOfTheLastTwoHallsIsBorne(t *testing.T) {
+func TestRegularEndpointsCarryTheLoadAfterTheLastTwoHallsAreLost(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
-	in := Input{Min: 1, Max: 56, SpotPrice: 0.18, Halls: halls(27, 0), Busy: 25, Held: 37, Known: true}
+	in := Input{Min: 1, Max: 56, SpotPrice: 0.18, Halls: halls(27, 0), PrefillLoad: 25, SlotLoad: 37, LoadKnown: true}
 	in.Halls[0].Spot, in.Halls[1].Spot = 0, 0
 	for _, h := range in.Halls {
-		p.Refused(h.Name, now)
+		p.SpotRefused(h.Name, now)
 	}
 	_, regular, _ := sums(p.Plan(in, now))
 	is.True(in.occupancy() <= twoLossLoad*float64(regular))
@@ -137,24 +137,24 @@
 
 // Some spot endpoints are back, although fewer than the peak load needs: as many regular endpoints are
 // removed as they replace.
-func TestOthersGoOneForOne(t *testing.T) {
+func TestSpotEndpointsReplaceRegularOnesOneForOne(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
-	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(2, 4), Busy: 10, Known: true}
+	in := Input{Min: 1, Max: 10, SpotPrice: 0.2, Halls: halls(2, 4), PrefillLoad: 10, LoadKnown: true}
 	_, regular, _ := sums(p.Plan(in, now))
 	is.Equal(regular, 16)
 	_, regular, _ = sums(p.Plan(in, now.Add(surplusHold+time.Second)))
-	is.Equal(regular, needed(in.Busy)-8)
+	is.Equal(regular, needed(in.PrefillLoad)-8)
 }
 
 // Endpoints have few slots and streams hold them for long: the prompt load alone does not determine
 // how many endpoints are needed, and two halls may be lost within a second.
-func TestPlacesThatStreamsHoldCount(t *testing.T) {
+func TestSlotsHeldByStreamsCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		busy := rapid.Float64Range(1, 30).Draw(t, "busy")
 		held := rapid.Float64Range(0, 40).Draw(t, "held")
-		in := Input{Min: 1, Max: 60, SpotPrice: 0.2, Halls: halls(40, 0), Busy: busy, Held: held, Known: true}
+		in := Input{Min: 1, Max: 60, SpotPrice: 0.2, Halls: halls(40, 0), PrefillLoad: busy, SlotLoad: held, LoadKnown: true}
 		targets := New().Plan(in, time.Unix(1000, 0))
 		spot, _, most := sums(targets)
 		slowed := held * (1 - busy/160)
@@ -166,14 +166,14 @@
 
 // The instance that acts for all is replaced, or all instances are restarted: the new planner does not
 // know the load yet and must not remove the endpoints that carry it.
-func TestANewPlannerGivesLittleBackAtOnce(t *testing.T) {
+func TestANewPlannerRemovesFewEndpointsAtFirst(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := time.Unix(1000, 0)
-	in := Input{Min: 1, Max: 60, SpotPrice: 0.2, Halls: halls(20, 0), Busy: 0.1, Known: true}
+	in := Input{Min: 1, Max: 60, SpotPrice: 0.2, Halls: halls(20, 0), PrefillLoad: 0.1, LoadKnown: true}
 	spot, _, most := sums(p.Plan(in, now))
 	is.True(spot-most >= 80*2/3)
-	in.Busy = 2
+	in.PrefillLoad = 2
 	spot, _, _ = sums(p.Plan(in, now.Add(startupHold-time.Second)))
 	is.True(spot >= 70)
 	spot, _, _ = sums(p.Plan(in, now.Add(startupHold+time.Second)))
@@ -182,7 +182,7 @@
 
 // The price of regular endpoints depends on the hall, but they must not all be in one hall, which may
 // fail.
-func TestOthersAreOrderedWhereTheyAreCheapest(t *testing.T) {
+func TestRegularEndpointsAreOrderedWhereTheyAreCheapest(t *testing.T) {
 	is := is.New(t)
 	in := Input{Min: 0, Max: 10, SpotPrice: 0.2, Halls: halls(0, 0)}
 	targets := []Target{{Hall: "a"}, {Hall: "b"}, {Hall: "c"}, {Hall: "d"}} // the cheapest first
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -68,7 +68,7 @@
 // endpoint can have run it.
 func (h *Handler) giveUp(w http.ResponseWriter, q *request, d *denial) {
 	if q.account != nil && !q.mayHaveRun {
-		h.Admission.Return(q.account, q.units)
+		h.Admission.Refund(q.account, q.units)
 	}
 	if q.answered && !d.clientGone {
 		// Part of the response was sent: only an aborted connection shows that it is incomplete.
@@ -161,7 +161,7 @@
 		return h.failed(ctx, q, ticket, fault.As(err))
 	}
 	q.tried = append(q.tried, ticket.Endpoint.ID)
-	ticket.Arrive()
+	ticket.MarkReached()
 	defer resp.Close()
 	if resp.Answer.NotRun && resp.Status != http.StatusBadRequest {
 		ticket.Done(balance.Refused, h.Clock.Now())
@@ -187,7 +187,7 @@
 	if errors.As(err, &limit) {
 		return overLimitDenial(q, limit.Verdict, h.Clock.Now())
 	}
-	var throttled *ClosedError
+	var throttled *ThrottledError
 	if errors.As(err, &throttled) {
 		// A client that retries sooner may reach another instance, which may have an endpoint for it.
 		wait := min(max(waitRetry, h.Clock.Until(throttled.Until)), waitNoEndpoint)
@@ -200,7 +200,7 @@
 func (h *Handler) balanceRequest(q *request, s *policy.Service) *balance.Request {
 	b := &balance.Request{
 		Service: q.service, Route: q.route.Name, ID: q.meta.ID, Tokens: q.meta.PromptTokens, Parts: q.meta.Parts,
-		Avoid: q.chosen, Once: !q.route.Idempotent(),
+		Avoid: q.chosen, NonIdempotent: !q.route.Idempotent(),
 	}
 	if s != nil && s.Engine != nil {
 		b.Engine, b.Slots = true, s.Engine.Slots
@@ -223,7 +223,7 @@
 		c.MaxConns = max(minConns, s.MaxConnections/max(1, view.Instances))
 	}
 	h.Protocol.Outgoing(c.Header, Outgoing{
-		Endpoint: ticket.Endpoint.StoreID(), Account: q.accountName(), Left: q.deadline.Sub(now), Priority: q.priority, LastEventID: q.lastEventID,
+		Endpoint: ticket.Endpoint.StoreID(), Account: q.accountName(), Remaining: q.deadline.Sub(now), Priority: q.priority, LastEventID: q.lastEventID,
 	})
 	return c
 }
@@ -233,7 +233,7 @@
 	now := h.Clock.Now()
 	if f.Run == fault.NotRun {
 		if errors.Is(f, syscall.ECONNREFUSED) {
-			h.Quarantine.Unreached(ticket.Endpoint)
+			h.Quarantine.ConnectionRefused(ticket.Endpoint)
 		}
 		ticket.Done(h.resultOf(ctx, f), now)
 		if ctx.Err() != nil {
@@ -245,7 +245,7 @@
 	}
 	q.tried = append(q.tried, ticket.Endpoint.ID)
 	q.mayHaveRun = true
-	ticket.Arrive()
+	ticket.MarkReached()
 	ticket.Done(h.resultOf(ctx, f), now)
 	h.runAborted(ctx, q, ticket.Endpoint)
 	if q.route.Kind != policy.Streaming {
@@ -265,7 +265,7 @@
 		return
 	}
 	q.counted = true
-	h.Admission.Began(q.accountName(), 1)
+	h.Admission.RecordRuns(q.accountName(), 1)
 }
 
 // resultOf returns the result of a failed attempt that counts for the endpoint's failure rate.
--- a/internal/forward/benchforward_test.go
+++ b/internal/forward/benchforward_test.go
@@ -43,12 +43,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	view := &View{Config: config, ProvedAt: time.Now(), KeysUntil: time.Now().Add(time.Hour), Endpoints: map[string][]registry.Endpoint{"svc": {{ID: "s0", Service: "svc", Addr: addr}}}, Instances: 1}
+	view := &View{Config: config, ConfirmedAt: time.Now(), KeysValidUntil: time.Now().Add(time.Hour), Endpoints: map[string][]registry.Endpoint{"svc": {{ID: "s0", Service: "svc", Addr: addr}}}, Instances: 1}
 	c := clock.New(clock.System{})
 	h := New(Options{
 		Protocol: plainProtocol{}, View: func() *View { return view }, Backends: backend.New(backend.Options{Net: netx.TCP{}, Protocol: plainProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{}), Clock: c}),
 		Placer: localPlacer{balance.NewTracker()}, Admission: &fakeAdmission{budget: 5}, Quarantine: noQuarantine{}, Clock: c, Log: zap.NewNop(), Metrics: m,
-		CertainFor: 2 * time.Second,
+		ConfigFreshFor: 2 * time.Second,
 	})
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/forward/door.go
+++ b/internal/forward/door.go
@@ -44,24 +44,24 @@
 	if c == nil {
 		return notReady("no configuration read yet")
 	}
-	age := q.arrived.Sub(q.view.ProvedAt)
+	age := q.arrived.Sub(q.view.ConfirmedAt)
 	host := r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	q.route = c.Match(host, r.URL.Path)
 	if q.route == nil {
-		if age > h.CertainFor {
+		if age > h.ConfigFreshFor {
 			return notReady("no route in a configuration that may be outdated")
 		}
 		return &denial{status: http.StatusNotFound, why: "no route"}
 	}
 	if c.HasAccounts() && !q.route.Public {
-		if q.arrived.After(q.view.KeysUntil) {
+		if q.arrived.After(q.view.KeysValidUntil) {
 			return notReady("the configuration may be outdated and the API key revoked")
 		}
 		if q.account = c.Account(q.meta.Key); q.account == nil {
-			if age > h.CertainFor {
+			if age > h.ConfigFreshFor {
 				return notReady("unknown API key in a configuration that may be outdated")
 			}
 			return &denial{status: http.StatusUnauthorized, why: "unknown API key"}
@@ -71,8 +71,8 @@
 	q.service = q.route.Pick(q.meta.ID)
 	q.method, q.uri, q.host = r.Method, r.RequestURI, r.Host
 	allowed := q.route.Timeout
-	if q.meta.HasDeadline {
-		allowed = min(allowed, q.meta.Allowed)
+	if q.meta.HasTimeout {
+		allowed = min(allowed, q.meta.Timeout)
 	}
 	q.deadline = q.arrived.Add(allowed)
 	return nil
@@ -94,7 +94,7 @@
 		return tooLarge()
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(h.Clock.Steady(q.deadline)) // fails for the response recorder of tests, which has no deadlines
+	_ = control.SetReadDeadline(h.Clock.ToMonotonic(q.deadline)) // fails for the response recorder of tests, which has no deadlines
 	body, err := readBody(r, limit)
 	if err != nil {
 		var large *http.MaxBytesError
@@ -132,7 +132,7 @@
 		return nil
 	}
 	if q.account.CountTokens {
-		q.units = q.account.PlainTokens
+		q.units = q.account.DefaultTokens
 		if q.meta.HasTokens {
 			q.units = float64(q.meta.PromptTokens + q.meta.OutputTokens)
 		}
@@ -151,14 +151,14 @@
 func overLimitDenial(q *request, v quota.Verdict, now time.Time) *denial {
 	return &denial{
 		status: http.StatusTooManyRequests, why: overLimit(v), wait: v.RetryAt.Sub(now),
-		fields: []zap.Field{zap.Float64("units", q.units), zap.Float64("level", v.Level), zap.Float64("need", v.Need), zap.Float64("known", v.Known)},
+		fields: []zap.Field{zap.Float64("units", q.units), zap.Float64("level", v.Level), zap.Float64("need", v.RequiredLevel), zap.Float64("known", v.KnownShare)},
 	}
 }
 
 // overLimit returns which of two limits a request exceeded: that of the client account over all
 // instances, or the part of it that this instance may grant by itself.
 func overLimit(v quota.Verdict) string {
-	if v.Need > 0 {
+	if v.RequiredLevel > 0 {
 		return "over the limit of the client account"
 	}
 	return "over this instance's share of the client account's limit"
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -36,8 +36,8 @@
 type Meta struct {
 	ID           string
 	Key          string // API key; identifies the client account
-	Allowed      time.Duration
-	HasDeadline  bool // whether the client set Timeout
+	Timeout      time.Duration
+	HasTimeout   bool // whether the client set Timeout
 	HasTokens    bool // whether the client stated the two token counts
 	PromptTokens int
 	OutputTokens int // upper bound
@@ -49,7 +49,7 @@
 type Outgoing struct {
 	Endpoint    string
 	Account     string
-	Left        time.Duration // until the deadline of the request
+	Remaining   time.Duration // until the deadline of the request
 	Priority    int           // 0 is the most urgent
 	LastEventID string        // ID of the event after which a resumed stream continues
 }
@@ -66,17 +66,17 @@
 
 // View is an immutable snapshot of the state that requests are handled with.
 type View struct {
-	Config      *policy.Config                 // nil until a configuration has been read
-	ProvedAt    time.Time                      // when the read was sent, by this instance or another, that last confirmed Config as the newest
-	ReadAt      time.Time                      // the same for reads that this instance sent to the store itself
-	KeysUntil   time.Time                      // API keys are accepted until then, unless Config is confirmed again
-	OutageUntil time.Time                      // the store counts as down for all instances until then
-	Listed      []registry.Endpoint            // all endpoints that are not shutting down, whether or not they may get requests
-	Endpoints   map[string][]registry.Endpoint // endpoints that accept new requests, by service
-	Trial       map[string][]registry.Endpoint // endpoints that get the trial share of a version being rolled out, by service
-	Rollouts    map[string]rollout.Record      // state of each service's roll-out
-	Instances   int                            // number of running instances, including this one
-	Leaving     bool                           // this instance is shutting down
+	Config         *policy.Config                 // nil until a configuration has been read
+	ConfirmedAt    time.Time                      // when the read was sent, by this instance or another, that last confirmed Config as the newest
+	OwnConfirmedAt time.Time                      // the same for reads that this instance sent to the store itself
+	KeysValidUntil time.Time                      // API keys are accepted until then, unless Config is confirmed again
+	OutageUntil    time.Time                      // the store counts as down for all instances until then
+	Listed         []registry.Endpoint            // all endpoints that are not shutting down, whether or not they may get requests
+	Endpoints      map[string][]registry.Endpoint // endpoints that accept new requests, by service
+	TrialEndpoints map[string][]registry.Endpoint // endpoints that get the trial share of a version being rolled out, by service
+	Rollouts       map[string]rollout.Record      // state of each service's roll-out
+	Instances      int                            // number of running instances, including this one
+	Leaving        bool                           // this instance is shutting down
 }
 
 // Admission checks requests against the limits of client accounts, and retries against the
@@ -87,13 +87,13 @@
 	// the requests of other instances.
 	Admit(a *policy.Account, units float64, placed bool, now time.Time) quota.Verdict
 	// Refund gives back the units of a request that was not run.
-	Return(a *policy.Account, units float64)
+	Refund(a *policy.Account, units float64)
 	// FirstTry counts the first attempt of a request, which adds to the retry budget of its service.
 	FirstTry(service string, now time.Time)
 	// SecondTry takes a retry from the budget of a service and reports whether one was left.
 	SecondTry(service string, now time.Time) bool
 	// RecordRuns counts n runs of requests for the usage reports.
-	Began(account string, n int64)
+	RecordRuns(account string, n int64)
 }
 
 // Placer chooses an endpoint for a request and counts the request there until the ticket is
@@ -114,17 +114,17 @@
 
 // ThrottledError reports that every endpoint of a service that accepts requests either asked this
 // instance to pause or is at its rate limit.
-type ClosedError struct {
+type ThrottledError struct {
 	Until time.Time // when the first of them accepts a request of this instance again
 }
 
 // Error implements error.
-func (e *ClosedError) Error() string {
+func (e *ThrottledError) Error() string {
 	return "all endpoints asked for a pause or are at their rate limit until " + e.Until.Format(time.RFC3339Nano)
 }
 
 // Unwrap makes the error match ErrNoEndpoint.
-func (e *ClosedError) Unwrap() error { return ErrNoEndpoint }
+func (e *ThrottledError) Unwrap() error { return ErrNoEndpoint }
 
 // Options configure a Handler.
 type Options struct {
@@ -141,7 +141,7 @@
 	// ConfigFreshFor is the time after the confirmation of a configuration within which a
 	// route or an API key that it does not contain is definitely rejected. After it, such
 	// requests get a temporary error instead.
-	CertainFor time.Duration
+	ConfigFreshFor time.Duration
 }
 
 // Handler is the http.Handler that forwards requests to endpoints.
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -41,7 +41,7 @@
 func (plainProtocol) Request(h http.Header) Meta {
 	m := Meta{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last")}
 	if ms, err := strconv.Atoi(h.Get("Deadline")); err == nil {
-		m.Allowed, m.HasDeadline = time.Duration(ms)*time.Millisecond, true
+		m.Timeout, m.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	}
 	return m
 }
@@ -51,7 +51,7 @@
 func (plainProtocol) Outgoing(h http.Header, o Outgoing) {
 	h.Set("Server", o.Endpoint)
 	h.Set("Account", o.Account)
-	h.Set("Deadline", strconv.FormatInt(o.Left.Milliseconds(), 10))
+	h.Set("Deadline", strconv.FormatInt(o.Remaining.Milliseconds(), 10))
 	if o.LastEventID != "" {
 		h.Set("Last", o.LastEventID)
 	}
@@ -72,7 +72,7 @@
 func (a *fakeAdmission) Admit(*policy.Account, float64, bool, time.Time) quota.Verdict {
 	return quota.Verdict{OK: !a.refuse, RetryAt: time.Now().Add(time.Second)}
 }
-func (a *fakeAdmission) Return(_ *policy.Account, units float64) { a.returned += units }
+func (a *fakeAdmission) Refund(_ *policy.Account, units float64) { a.returned += units }
 func (a *fakeAdmission) FirstTry(string, time.Time)              {}
 func (a *fakeAdmission) SecondTry(string, time.Time) bool {
 	a.mu.Lock()
@@ -80,7 +80,7 @@
 	a.budget--
 	return a.budget >= 0
 }
-func (a *fakeAdmission) Began(_ string, n int64) {
+func (a *fakeAdmission) RecordRuns(_ string, n int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.began += n
@@ -89,17 +89,17 @@
 // noQuarantine is a Quarantine that lets every request run.
 type noQuarantine struct{}
 
-func (noQuarantine) Knows(int) bool { return false }
+func (noQuarantine) MaySuspect(int) bool { return false }
 func (noQuarantine) Enter(context.Context, quarantine.Fingerprint, time.Time) (func(bool), error) {
 	return nil, nil
 }
-func (noQuarantine) Allows(quarantine.Fingerprint) error { return nil }
-func (noQuarantine) Broke(context.Context, registry.Endpoint, quarantine.Fingerprint, string) bool {
+func (noQuarantine) Check(quarantine.Fingerprint) error { return nil }
+func (noQuarantine) RunAborted(context.Context, registry.Endpoint, quarantine.Fingerprint, string) bool {
 	return false
 }
-func (noQuarantine) Left(registry.Endpoint, quarantine.Fingerprint, string) {}
-func (noQuarantine) Unreached(registry.Endpoint)                            {}
-func (noQuarantine) CameThrough(quarantine.Fingerprint, registry.Endpoint)  {}
+func (noQuarantine) RunCancelled(registry.Endpoint, quarantine.Fingerprint, string) {}
+func (noQuarantine) ConnectionRefused(registry.Endpoint)                            {}
+func (noQuarantine) RunCompleted(quarantine.Fingerprint, registry.Endpoint)         {}
 
 // fixture is a handler with scripted endpoints.
 type fixture struct {
@@ -175,11 +175,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	view := &View{Config: testConfig(t), ProvedAt: time.Now(), KeysUntil: time.Now().Add(4 * time.Second), Endpoints: map[string][]registry.Endpoint{"svc": endpoints}, Instances: 1}
+	view := &View{Config: testConfig(t), ConfirmedAt: time.Now(), KeysValidUntil: time.Now().Add(4 * time.Second), Endpoints: map[string][]registry.Endpoint{"svc": endpoints}, Instances: 1}
 	w.handler = New(Options{
 		Protocol: plainProtocol{}, View: func() *View { return view }, Backends: backend.New(backend.Options{Net: mem.Site("instance"), Protocol: plainProtocol{}, Notices: notice.New(notice.Options{}), Limits: ratelimit.New(ratelimit.Options{})}),
 		Placer: localPlacer{balance.NewTracker()}, Admission: w.admit, Quarantine: noQuarantine{}, Log: zap.NewNop(), Metrics: m,
-		CertainFor: 2 * time.Second,
+		ConfigFreshFor: 2 * time.Second,
 	})
 	return w
 }
@@ -287,7 +287,7 @@
 type limitPlacer struct{}
 
 func (limitPlacer) Place(context.Context, []registry.Endpoint, *balance.Request, time.Time, time.Time) (*balance.Ticket, error) {
-	return nil, &LimitError{quota.Verdict{Need: 1, RetryAt: time.Now().Add(250 * time.Millisecond)}}
+	return nil, &LimitError{quota.Verdict{RequiredLevel: 1, RetryAt: time.Now().Add(250 * time.Millisecond)}}
 }
 
 // A request that is not placed because of a limit gets status 429 with Retry-After, and its units
@@ -359,7 +359,7 @@
 
 // Runs are counted like endpoints count them: by run for plain services, by request for model
 // endpoints.
-func TestRunsAreCountedAsServersCountThem(t *testing.T) {
+func TestRunsAreCountedAsEndpointsCountThem(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		path    string
@@ -383,7 +383,7 @@
 	}
 }
 
-func TestADeadlineIsPassedOnAsWhatIsLeft(t *testing.T) {
+func TestTheRemainingTimeIsPassedOn(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newFixture(t, 0, sealed(500, "no"), sealed(200, "hi"))
@@ -437,7 +437,7 @@
 	}
 }
 
-func TestKeysAreHonouredOnlyWhileTheConfigurationIsProved(t *testing.T) {
+func TestKeysAreValidOnlyWhileTheConfigurationIsConfirmed(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newFixture(t, 0, sealed(200, "hi"), sealed(200, "hi"))
@@ -458,7 +458,7 @@
 	})
 }
 
-func TestALimitIsAnsweredWithATimeToComeBack(t *testing.T) {
+func TestALimitIsAnsweredWithRetryAfter(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newFixture(t, 0, sealed(200, "hi"))
--- a/internal/forward/leave_test.go
+++ b/internal/forward/leave_test.go
@@ -39,7 +39,7 @@
 
 // When a client disconnects, the connection to the endpoint is closed at once and nothing more
 // is sent, in any phase of the request.
-func TestACallerThatLeaves(t *testing.T) {
+func TestAClientThatDisconnects(t *testing.T) {
 	const (
 		leaves = 200 * time.Millisecond // after the request was sent
 		soon   = 50 * time.Millisecond  // after that no endpoint works on it
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -17,23 +17,23 @@
 type Quarantine interface {
 	// MaySuspect reports whether a request of this length may be under suspicion. The
 	// fingerprint is computed only then.
-	Knows(length int) bool
+	MaySuspect(length int) bool
 	// Enter acquires the permit that a request under suspicion needs to run until a deadline. The
 	// caller calls leave, which may be nil, when the run is over; decided reports whether its
 	// outcome is known. The error is a *quarantine.RefusedError if the request must not run.
 	Enter(ctx context.Context, f quarantine.Fingerprint, until time.Time) (leave func(decided bool), err error)
 	// Check tests again whether the request may run, right before it is sent.
-	Allows(f quarantine.Fingerprint) error
+	Check(f quarantine.Fingerprint) error
 	// RunAborted records that an endpoint aborted a run, and probes whether its process has ended.
 	// ended is also false if the endpoint was shutting down anyway or if the probe was inconclusive.
-	Broke(ctx context.Context, s registry.Endpoint, f quarantine.Fingerprint, account string) (ended bool)
+	RunAborted(ctx context.Context, s registry.Endpoint, f quarantine.Fingerprint, account string) (ended bool)
 	// RunCancelled records that a run was cancelled because its client disconnected or its deadline
 	// passed.
-	Left(s registry.Endpoint, f quarantine.Fingerprint, account string)
+	RunCancelled(s registry.Endpoint, f quarantine.Fingerprint, account string)
 	// ConnectionRefused records that an endpoint's address refused a connection.
-	Unreached(s registry.Endpoint)
+	ConnectionRefused(s registry.Endpoint)
 	// RunCompleted records that an endpoint completed a run.
-	CameThrough(f quarantine.Fingerprint, s registry.Endpoint)
+	RunCompleted(f quarantine.Fingerprint, s registry.Endpoint)
 }
 
 // length returns the length of the request as it is counted for its fingerprint.
@@ -50,7 +50,7 @@
 
 // acquirePermit asks the quarantine whether the request may be tried, and returns a denial if not.
 func (h *Handler) acquirePermit(ctx context.Context, q *request) (leave func(decided bool), d *denial) {
-	if ctx.Err() != nil || !h.Quarantine.Knows(q.length()) {
+	if ctx.Err() != nil || !h.Quarantine.MaySuspect(q.length()) {
 		return nil, nil // mayTry returns the denial for a client that disconnected
 	}
 	leave, err := h.Quarantine.Enter(ctx, q.fingerprint(), q.deadline)
@@ -74,10 +74,10 @@
 
 // stillAllowed asks the quarantine again, after an endpoint was chosen and before anything is sent.
 func (h *Handler) stillAllowed(q *request) *denial {
-	if !h.Quarantine.Knows(q.length()) {
+	if !h.Quarantine.MaySuspect(q.length()) {
 		return nil
 	}
-	if err := h.Quarantine.Allows(q.fingerprint()); err != nil {
+	if err := h.Quarantine.Check(q.fingerprint()); err != nil {
 		return h.quarantined(q, err)
 	}
 	return nil
@@ -90,21 +90,21 @@
 		h.runCancelled(q, endpoint)
 		return
 	}
-	q.outcomeUnknown = !h.Quarantine.Broke(ctx, endpoint, q.fingerprint(), q.accountName())
+	q.outcomeUnknown = !h.Quarantine.RunAborted(ctx, endpoint, q.fingerprint(), q.accountName())
 }
 
 // runCancelled records that the run of the request was cancelled. The endpoint may still crash
 // because of it shortly after the client has disconnected.
 func (h *Handler) runCancelled(q *request, endpoint registry.Endpoint) {
 	q.outcomeUnknown = true
-	h.Quarantine.Left(endpoint, q.fingerprint(), q.accountName())
+	h.Quarantine.RunCancelled(endpoint, q.fingerprint(), q.accountName())
 }
 
 // runCompleted records that an endpoint completed the request, if the response proves that it
 // was run.
 func (h *Handler) runCompleted(q *request, endpoint registry.Endpoint, resp *backend.Response) {
-	if provesRun(resp) && h.Quarantine.Knows(q.length()) {
-		h.Quarantine.CameThrough(q.fingerprint(), endpoint)
+	if provesRun(resp) && h.Quarantine.MaySuspect(q.length()) {
+		h.Quarantine.RunCompleted(q.fingerprint(), endpoint)
 	}
 }
 
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -49,7 +49,7 @@
 // refuse sends the error response of a denial.
 func (h *Handler) refuse(w http.ResponseWriter, q *request, d *denial) {
 	if d.clientGone {
-		h.logEnd(q, event.ClientLeft, 0, d.why, d.err)
+		h.logEnd(q, event.ClientDisconnected, 0, d.why, d.err)
 		panic(http.ErrAbortHandler)
 	}
 	if claimsNotRun(d.status) && q.mayHaveRun {
@@ -80,7 +80,7 @@
 		fields = append(fields, zap.String("route", name), zap.String("account", q.accountName()), zap.Time("deadline", q.deadline))
 	}
 	if q.view.Config != nil {
-		fields = append(fields, zap.Int64("config", q.view.Config.Version), zap.Duration("config_age", q.arrived.Sub(q.view.ProvedAt)))
+		fields = append(fields, zap.Int64("config", q.view.Config.Version), zap.Duration("config_age", q.arrived.Sub(q.view.ConfirmedAt)))
 	}
 	if !q.firstEventAt.IsZero() {
 		fields = append(fields, zap.Duration("first", q.firstEventAt.Sub(q.arrived)), zap.Duration("pause", q.longestPause))
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -90,8 +90,8 @@
 	for {
 		e, err := nextEvent(r, buf)
 		if err == io.EOF {
-			if q.longestPause > 0 && q.route.MaxPause > 0 {
-				ticket.Streamed(q.longestPause > time.Duration(stallFraction*float64(q.route.MaxPause)))
+			if q.longestPause > 0 && q.route.TargetEventGap > 0 {
+				ticket.Streamed(q.longestPause > time.Duration(stallFraction*float64(q.route.TargetEventGap)))
 			}
 			ticket.Done(balance.Answered, h.Clock.Now())
 			h.runCompleted(q, ticket.Endpoint, resp)
@@ -105,7 +105,7 @@
 		buf = e
 		if first {
 			first = false
-			ticket.Read(h.Clock.Now())
+			ticket.PromptRead(h.Clock.Now())
 			h.began(q)
 			h.Metrics.FirstToken(q.route.Name, h.Clock.Since(q.arrived))
 		}
@@ -118,7 +118,7 @@
 		if _, err := w.Write(e); err != nil {
 			ticket.Done(balance.Cancelled, h.Clock.Now())
 			h.runCancelled(q, ticket.Endpoint)
-			h.logEnd(q, event.ClientLeft, resp.Status, "client disconnected", err)
+			h.logEnd(q, event.ClientDisconnected, resp.Status, "client disconnected", err)
 			panic(http.ErrAbortHandler)
 		}
 		if r.Buffered() == 0 {
@@ -149,7 +149,7 @@
 	}
 	again := q.route.Idempotent()
 	if again {
-		h.event(event.RequestResumed, zap.String("request", q.meta.ID), zap.String("server", ticket.Endpoint.ID), zap.String("after", q.lastEventID), zap.Error(err))
+		h.event(event.StreamResumed, zap.String("request", q.meta.ID), zap.String("server", ticket.Endpoint.ID), zap.String("after", q.lastEventID), zap.Error(err))
 	}
 	return outcome{again: again, denial: &denial{status: http.StatusBadGateway, why: "stream broke off", err: err}}
 }
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -18,7 +18,7 @@
 // suspendingPlacer suspends the host while an endpoint is chosen.
 type suspendingPlacer struct {
 	Placer
-	host *clocktest.Machine
+	host *clocktest.TimeSource
 	d    time.Duration
 }
 
@@ -31,7 +31,7 @@
 
 // Endpoints got requests whose deadline had passed, with as much time left as there was before
 // the host of the instance was suspended.
-func TestNothingIsSentAfterItsTime(t *testing.T) {
+func TestNothingIsSentAfterItsDeadline(t *testing.T) {
 	for _, c := range []struct {
 		suspended time.Duration
 		status    int
--- a/internal/front/admission.go
+++ b/internal/front/admission.go
@@ -17,8 +17,8 @@
 // this instance. It is safe for concurrent use and implements forward.Admission.
 type admission struct {
 	instance   *Instance
-	retryTerms retry.Terms
-	quotaTerms quota.Terms
+	retryTerms retry.Limits
+	quotaTerms quota.Tolerance
 
 	mu              sync.Mutex
 	limitsConfig    *policy.Config           // from which limitsByAccount was computed; guarded by mu
@@ -34,8 +34,8 @@
 	b := n.Settings.Bounds
 	return &admission{
 		instance: n, rand: rand.New(rand.NewPCG(n.Seed, seedAdmission)), quota: quota.New(n.start), budgets: make(map[string]*retry.Budget), usage: usage.New(), counters: newCounters(),
-		quotaTerms: quota.Terms{Over: b.QuotaOver, Slack: b.QuotaSlack, Window: b.QuotaWindow()},
-		retryTerms: retry.Terms{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow()},
+		quotaTerms: quota.Tolerance{Ratio: b.QuotaOver, Slack: b.QuotaSlack, Window: b.QuotaWindow()},
+		retryTerms: retry.Limits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow()},
 	}
 }
 
@@ -45,7 +45,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if placed {
-		return a.quota.AdmitForHub(c.Name, a.limitOf(c), units, now)
+		return a.quota.AdmitProvisionally(c.Name, a.limitOf(c), units, now)
 	}
 	return a.quota.Admit(c.Name, a.limitOf(c), units, now)
 }
@@ -58,7 +58,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.quota.Alone(account, a.currentLimits()[account], units, now)
+	return a.quota.WithinLocalShare(account, a.currentLimits()[account], units, now)
 }
 
 // confirmAtHub checks, on a hub, whether the limit of a client account allows a request
@@ -78,7 +78,7 @@
 func (a *admission) limitOf(c *policy.Account) quota.Limit {
 	limit := quota.Limit{Rate: c.Rate, Burst: c.Burst}
 	if c.Rate > 0 {
-		limit = a.quotaTerms.Stretch(limit)
+		limit = a.quotaTerms.EnforcedLimit(limit)
 	}
 	return limit
 }
@@ -102,11 +102,11 @@
 	return a.quota.Levels(a.currentLimits(), now)
 }
 
-// Return implements forward.Admission.
-func (a *admission) Return(c *policy.Account, units float64) {
+// Refund implements forward.Admission.
+func (a *admission) Refund(c *policy.Account, units float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.Return(c.Name, units)
+	a.quota.Refund(c.Name, units)
 }
 
 func (a *admission) budget(service string) *retry.Budget {
@@ -123,7 +123,7 @@
 	instances := a.instance.view.Load().Instances
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.budget(service).Sent(a.retryTerms, instances, now)
+	a.budget(service).RecordRequest(a.retryTerms, instances, now)
 }
 
 // SecondTry implements forward.Admission.
@@ -134,8 +134,8 @@
 	return a.budget(service).Take(a.retryTerms, instances, a.rand.Float64(), now)
 }
 
-// Began implements forward.Admission.
-func (a *admission) Began(account string, count int64) {
+// RecordRuns implements forward.Admission.
+func (a *admission) RecordRuns(account string, count int64) {
 	if account == "" {
 		return
 	}
@@ -153,8 +153,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.quota.SetInstances(instances)
-	a.quota.Fill(a.currentLimits(), now)
-	a.quota.DropWhere(func(name string, seenAt time.Time) bool {
+	a.quota.Refill(a.currentLimits(), now)
+	a.quota.DropInstances(func(name string, seenAt time.Time) bool {
 		return isGroup(name) != grouped || grouped && now.Sub(seenAt) > groupTimeout
 	})
 	a.quota.Tick(now)
@@ -176,15 +176,15 @@
 func (a *admission) resume(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.Resume(a.currentLimits(), now)
+	a.quota.ResetAfterPause(a.currentLimits(), now)
 }
 
 // forget drops what a peer reported, both for itself and for its group.
 func (a *admission) forget(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.Forget(name)
-	a.quota.Forget(groupOf(name))
+	a.quota.MarkDeparted(name)
+	a.quota.MarkDeparted(groupName(name))
 }
 
 // counter returns the usage counts of all instances. In a fleet with hubs these are counts
@@ -194,8 +194,8 @@
 	if !n.grouped() {
 		return a.usage
 	}
-	if n.state.members.topology().Self {
-		a.counters.usage.Apply(groupOf(n.Settings.Name), n.incarnation(), windowsOf(n.groupRuns()))
+	if n.state.members.topology().IsHub {
+		a.counters.usage.Apply(groupName(n.Settings.Name), n.incarnation(), windowsOf(n.groupRuns()))
 	}
 	return a.counters.usage
 }
@@ -221,6 +221,6 @@
 	defer a.mu.Unlock()
 	name, run := a.instance.Settings.Name, a.instance.incarnation()
 	groups, instances := lo.FilterReject(records, func(r usage.Record, _ int) bool { return isGroup(r.Instance) })
-	a.usage.Recall(instances, name, run)
-	a.counters.usage.Recall(groups, groupOf(name), run)
+	a.usage.Restore(instances, name, run)
+	a.counters.usage.Restore(groups, groupName(name), run)
 }
--- a/internal/front/calls.go
+++ b/internal/front/calls.go
@@ -19,7 +19,7 @@
 	case *peerpb.Call_FetchConfig:
 		return n.serveConfig(answer)
 	case *peerpb.Call_Place:
-		return n.placer.serve(call, answer)
+		return n.placer.servePlace(call, answer)
 	case *peerpb.Call_Suspects:
 		n.suspects.apply(body.Suspects.GetSuspects())
 		return answer(&peerpb.Answer{Body: &peerpb.Answer_Done{Done: &peerpb.Done{}}})
--- a/internal/front/deadly_test.go
+++ b/internal/front/deadly_test.go
@@ -25,7 +25,7 @@
 // endpointCrashes simulates endpoints that crash under deadly requests, and counts the runs of
 // each request. A request is deadly if its path contains "deadly"; requests with the same path
 // count as one request.
-type deaths struct {
+type endpointCrashes struct {
 	mu             sync.Mutex
 	processes      map[int]*http.Server // server process by number of the endpoint; guarded by mu
 	down           map[string]bool      // endpoints that are not running; guarded by mu
@@ -42,20 +42,20 @@
 	failsEach    int           // one in so many runs, if deadly, is answered with an error before it runs; 0 for none
 }
 
-func newDeaths() *deaths {
-	return &deaths{processes: make(map[int]*http.Server), down: make(map[string]bool), ended: make(map[string]int), runsAfterLimit: make(map[string]int), runs: make(map[string]int), limitReachedAt: make(map[string]time.Time), lateRuns: make(map[string]int), failed: make(map[string]bool), restartDelay: restartDelay}
+func newEndpointCrashes() *endpointCrashes {
+	return &endpointCrashes{processes: make(map[int]*http.Server), down: make(map[string]bool), ended: make(map[string]int), runsAfterLimit: make(map[string]int), runs: make(map[string]int), limitReachedAt: make(map[string]time.Time), lateRuns: make(map[string]int), failed: make(map[string]bool), restartDelay: restartDelay}
 }
 
 // started records the server process of an endpoint.
-func (d *deaths) started(i int, s *http.Server) {
+func (d *endpointCrashes) started(i int, s *http.Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.processes[i] = s
-	delete(d.down, serverID(i))
+	delete(d.down, endpointID(i))
 }
 
 // arrives counts a request at an endpoint, and reports whether the endpoint crashes under it.
-func (d *deaths) arrives(id, path string) bool {
+func (d *endpointCrashes) arrives(id, path string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.runs[id]++
@@ -73,15 +73,15 @@
 
 // crash stops an endpoint and all its connections, under a request unless path is empty. The
 // endpoint restarts after the given time, unless that is negative.
-func (w *world) crash(i int, path string, restartAfter time.Duration) {
+func (w *testCluster) crash(i int, path string, restartAfter time.Duration) {
 	d := w.deaths
 	d.mu.Lock()
 	s := d.processes[i]
-	if d.down[serverID(i)] {
+	if d.down[endpointID(i)] {
 		d.mu.Unlock()
 		return
 	}
-	d.down[serverID(i)] = true
+	d.down[endpointID(i)] = true
 	if path != "" {
 		d.ended[path]++
 		if d.ended[path] == maxEndsPerRequest {
@@ -102,7 +102,7 @@
 
 // counts returns how many endpoints ended under a path, and how often it reached one after
 // maxEndsPerRequest had ended.
-func (d *deaths) counts(path string) (ended, after int) {
+func (d *endpointCrashes) counts(path string) (ended, after int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ended[path], d.runsAfterLimit[path]
@@ -110,7 +110,7 @@
 
 // tooLate returns how often a path reached an endpoint later than propagationBound after
 // maxEndsPerRequest endpoints had ended under it.
-func (d *deaths) tooLate(path string) int {
+func (d *endpointCrashes) tooLate(path string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lateRuns[path]
@@ -118,21 +118,21 @@
 
 // failedBeforeRun reports whether the last endpoint that a request reached answers it with an
 // error instead of running it.
-func (d *deaths) failsFirst(id string) bool {
+func (d *endpointCrashes) failedBeforeRun(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.failed[id]
 }
 
 // arrived returns how many distinct requests reached an endpoint, and the number of their runs.
-func (d *deaths) arrived() (requests, runs int) {
+func (d *endpointCrashes) arrived() (requests, runs int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.runs), d.totalRuns
 }
 
 // fix makes no request deadly from now on, as a fixed version of the endpoints would.
-func (d *deaths) fix() {
+func (d *endpointCrashes) fix() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fixed = true
@@ -143,13 +143,13 @@
 // id to another instance. It can be recognized only by its content (method, URI and body) and
 // only across instances. In one case the same content came under 116 ids and ended 125
 // endpoints, from all 7 instances.
-func TestARequestThatCrashesItsServersIsStopped(t *testing.T) {
-	for _, instances := range []int{4, large} {
+func TestARequestThatCrashesItsEndpointsIsStopped(t *testing.T) {
+	for _, instances := range []int{4, largeFleet} {
 		for _, kind := range []string{"once", "safe"} {
-			play(t, instances, func(is *is.I, w *world) {
+			runCluster(t, instances, func(is *is.I, w *testCluster) {
 				time.Sleep(4 * time.Second)
 				path := "/" + kind + "/deadly"
-				w.askDeadly(path, "d", 10*time.Second, namesOf(w)...)
+				w.askDeadly(path, "d", 10*time.Second, runningNames(w)...)
 				ended, after := w.deaths.counts(path)
 				t.Logf("%s at %d instances: %d ended, %d sent after", kind, instances, ended, after)
 				is.True(ended >= maxEndsPerRequest) // otherwise the test proves nothing
@@ -161,15 +161,15 @@
 }
 
 // manyEndpoints is an option that gives a world more endpoints, whose entries have a start time.
-func manyEndpoints(w *world) { w.servers = 12 }
+func manyEndpoints(w *testCluster) { w.endpoints = 12 }
 
 // Guards against false suspicion: endpoints crash all the time for other reasons. Popular
 // requests that happen to run on several of them must still be served.
 func TestRequestsBesideCrashesAreServed(t *testing.T) {
-	for _, instances := range []int{4, large} {
-		play(t, instances, func(is *is.I, w *world) {
+	for _, instances := range []int{4, largeFleet} {
+		runCluster(t, instances, func(is *is.I, w *testCluster) {
 			time.Sleep(4 * time.Second)
-			w.work(200 * time.Millisecond) // long enough that each path is running on some endpoint that ends
+			w.setWorkTime(200 * time.Millisecond) // long enough that each path is running on some endpoint that ends
 			rnd := rand.New(rand.NewPCG(1, 23))
 			var wait sync.WaitGroup
 			var mu sync.Mutex
@@ -177,7 +177,7 @@
 			for i := range 1000 {
 				time.Sleep(20 * time.Millisecond)
 				if i%25 == 0 { // two of twelve endpoints a second
-					w.crash(rnd.IntN(w.servers), "", restartDelay)
+					w.crash(rnd.IntN(w.endpoints), "", restartDelay)
 				}
 				name := fmt.Sprint("n", i%instances)
 				path := fmt.Sprint("/safe/hot", i%3)
@@ -203,7 +203,7 @@
 
 // askDeadly requests a path ten times a second for a time, from the named instances in turn,
 // and returns the number of answers by status.
-func (w *world) askDeadly(path, tag string, d time.Duration, names ...string) (statuses map[int]int) {
+func (w *testCluster) askDeadly(path, tag string, d time.Duration, names ...string) (statuses map[int]int) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	statuses = make(map[int]int)
@@ -224,10 +224,10 @@
 // An instance that starts learns at once which requests are quarantined, even if all instances
 // that saw the endpoints end restart one after the other.
 func TestAQuarantineIsKnownToInstancesThatStart(t *testing.T) {
-	for _, instances := range []int{4, large} {
-		play(t, instances, func(is *is.I, w *world) {
+	for _, instances := range []int{4, largeFleet} {
+		runCluster(t, instances, func(is *is.I, w *testCluster) {
 			time.Sleep(4 * time.Second)
-			names := namesOf(w)
+			names := runningNames(w)
 			w.askDeadly("/safe/deadly", "a", 4*time.Second, names...)
 			ended, _ := w.deaths.counts("/safe/deadly")
 			is.Equal(ended, maxEndsPerRequest)
@@ -246,10 +246,10 @@
 // Instances are killed while endpoints end under a request: what the others saw still counts.
 // An end that only a killed instance saw is lost, so that each killed instance allows one more.
 func TestAQuarantineOutlivesInstances(t *testing.T) {
-	for _, instances := range []int{4, large} {
-		play(t, instances, func(is *is.I, w *world) {
+	for _, instances := range []int{4, largeFleet} {
+		runCluster(t, instances, func(is *is.I, w *testCluster) {
 			time.Sleep(4 * time.Second)
-			names := namesOf(w)
+			names := runningNames(w)
 			var wait sync.WaitGroup
 			wait.Go(func() {
 				for _, name := range names[:2] {
@@ -269,7 +269,7 @@
 // Instances are partitioned into two halves that both reach the endpoints: each half counts
 // separately. Once they are connected again, neither half sends the request any more.
 func TestAQuarantineWhileInstancesAreCutOff(t *testing.T) {
-	play(t, 4, func(is *is.I, w *world) {
+	runCluster(t, 4, func(is *is.I, w *testCluster) {
 		time.Sleep(4 * time.Second)
 		left, right := []string{"n0", "n1"}, []string{"n2", "n3"}
 		w.cut(left, right, true)
@@ -291,20 +291,20 @@
 }
 
 // cut partitions two sets of instances, or heals the partition.
-func (w *world) cut(left, right []string, cut bool) {
+func (w *testCluster) cut(left, right []string, cut bool) {
 	for _, a := range left {
 		for _, b := range right {
-			w.mem.Cut(w.nodes[a].site, w.nodes[b].site, cut)
+			w.mem.Cut(w.instances[a].site, w.instances[b].site, cut)
 		}
 	}
 }
 
 // Operators can list quarantined requests at any instance, and lift a quarantine at any other.
 func TestOperatorsLiftAQuarantine(t *testing.T) {
-	for _, instances := range []int{4, large} {
-		play(t, instances, func(is *is.I, w *world) {
+	for _, instances := range []int{4, largeFleet} {
+		runCluster(t, instances, func(is *is.I, w *testCluster) {
 			time.Sleep(4 * time.Second)
-			names := namesOf(w)
+			names := runningNames(w)
 			w.askDeadly("/safe/deadly", "a", 4*time.Second, names...)
 			time.Sleep(time.Second)
 			var all []SuspectStatus
@@ -322,7 +322,7 @@
 }
 
 // operate makes an operator's call to an instance's metrics address and returns the answer.
-func (w *world) operate(method, name, path string) []byte {
+func (w *testCluster) operate(method, name, path string) []byte {
 	r, err := http.NewRequestWithContext(context.Background(), method, "http://"+w.settings(name, hostOf(name)).Metrics.String()+path, nil)
 	if err != nil {
 		w.t.Fatal(err)
@@ -342,17 +342,17 @@
 // After a quarantine, a single run at one place decides. If an endpoint ends under the request
 // again, it is quarantined again at once; if the run completes, all instances serve it again.
 func TestAQuarantineEnds(t *testing.T) {
-	for _, instances := range []int{4, large} {
-		play(t, instances, func(is *is.I, w *world) {
+	for _, instances := range []int{4, largeFleet} {
+		runCluster(t, instances, func(is *is.I, w *testCluster) {
 			time.Sleep(4 * time.Second)
-			names := namesOf(w)
+			names := runningNames(w)
 			w.askDeadly("/safe/deadly", "a", 4*time.Second, names...)
-			time.Sleep(w.nodes["n0"].node.Settings.Quarantine())
+			time.Sleep(w.instances["n0"].instance.Settings.Quarantine())
 			w.askDeadly("/safe/deadly", "b", 4*time.Second, names...)
 			ended, _ := w.deaths.counts("/safe/deadly")
 			is.Equal(ended, maxEndsPerRequest+1)
 			w.deaths.fix()
-			time.Sleep(2 * w.nodes["n0"].node.Settings.Quarantine())
+			time.Sleep(2 * w.instances["n0"].instance.Settings.Quarantine())
 			statuses := w.askDeadly("/safe/deadly", "c", 4*time.Second, names...)
 			is.True(statuses[http.StatusOK] >= 35) // of 40
 		}, manyEndpoints)
@@ -362,10 +362,10 @@
 // A client account is at its limit while endpoints end under many of its requests, which are
 // retried elsewhere. The distinct requests that reach endpoints stay within the limit. Retries
 // do not count: instances start them, and the retry budget bounds them.
-func TestALimitHoldsWhileServersEndUnderRequests(t *testing.T) {
+func TestALimitHoldsWhileEndpointsEndUnderRequests(t *testing.T) {
 	const rate, burst, over, window = 40, 80, 0.1, 8
 	const instances = 4
-	play(t, instances, func(_ *is.I, w *world) {
+	runCluster(t, instances, func(_ *is.I, w *testCluster) {
 		time.Sleep(4 * time.Second)
 		var wait sync.WaitGroup
 		var ids []int // distinct requests that reached an endpoint, at the end of each second
@@ -394,12 +394,12 @@
 		if all == distinct {
 			t.Error("no request was retried")
 		}
-	}, limited(rate, burst, over), manyEndpoints)
+	}, withLimit(rate, burst, over), manyEndpoints)
 }
 
 // survives reads a request's body, and crashes the endpoint if the request is deadly. It
 // reports whether the endpoint is still running.
-func (w *world) survives(i int, r *http.Request) bool {
+func (w *testCluster) survives(i int, r *http.Request) bool {
 	_, _ = io.Copy(io.Discard, r.Body)
 	path := r.URL.Path
 	if !w.deaths.arrives(r.Header.Get("Id"), path) {
--- a/internal/front/deadlyagain_test.go
+++ b/internal/front/deadlyagain_test.go
@@ -13,14 +13,14 @@
 // that the request came through, a failing endpoint that answers it with 500 before running it
 // releases it, and more endpoints end under it: 60 to 70 in a day, and 111 with half of the
 // deadly requests answered that way.
-func TestADeadlyRequestIsStoppedWhereServersFail(t *testing.T) {
-	for _, instances := range []int{4, large} {
-		play(t, instances, func(is *is.I, w *world) {
+func TestADeadlyRequestIsStoppedWhereEndpointsFail(t *testing.T) {
+	for _, instances := range []int{4, largeFleet} {
+		runCluster(t, instances, func(is *is.I, w *testCluster) {
 			time.Sleep(4 * time.Second)
 			const path = "/safe/deadly"
-			w.askDeadly(path, "d", 20*time.Second, namesOf(w)...)
+			w.askDeadly(path, "d", 20*time.Second, runningNames(w)...)
 			w.checkStopped(is, path)
-		}, manyEndpoints, func(w *world) { w.deaths.failsEach = 2 })
+		}, manyEndpoints, func(w *testCluster) { w.deaths.failsEach = 2 })
 	}
 }
 
@@ -28,10 +28,10 @@
 // milliseconds after its request was sent, the instance cancels the run, and the endpoint ends
 // a moment later all the same. If only runs interrupted by the endpoint count, none of these
 // ends is seen (of 125 in one case) while the client keeps coming back.
-func TestADeadlyRequestIsStoppedWhereCallersLeave(t *testing.T) {
-	for _, instances := range []int{4, large} {
+func TestADeadlyRequestIsStoppedWhereClientsLeave(t *testing.T) {
+	for _, instances := range []int{4, largeFleet} {
 		for _, stay := range []time.Duration{5 * time.Millisecond, 20 * time.Millisecond} {
-			play(t, instances, func(is *is.I, w *world) {
+			runCluster(t, instances, func(is *is.I, w *testCluster) {
 				time.Sleep(4 * time.Second)
 				const path = "/safe/deadly"
 				w.askAndLeave(path, stay, 80*time.Second) // longer than the quarantine lasts
@@ -43,15 +43,15 @@
 
 // Guards against missing the end of an endpoint that restarts at once under the same id and
 // address.
-func TestADeadlyRequestIsStoppedWhereServersAreBackAtOnce(t *testing.T) {
-	for _, instances := range []int{4, large} {
+func TestADeadlyRequestIsStoppedWhereEndpointsRestartAtOnce(t *testing.T) {
+	for _, instances := range []int{4, largeFleet} {
 		for _, again := range []time.Duration{0, 20 * time.Millisecond, 200 * time.Millisecond} {
-			play(t, instances, func(is *is.I, w *world) {
+			runCluster(t, instances, func(is *is.I, w *testCluster) {
 				time.Sleep(4 * time.Second)
 				const path = "/safe/deadly"
-				w.askDeadly(path, "d", 20*time.Second, namesOf(w)...)
+				w.askDeadly(path, "d", 20*time.Second, runningNames(w)...)
 				w.checkStopped(is, path)
-			}, manyEndpoints, func(w *world) { w.deaths.restartDelay = again })
+			}, manyEndpoints, func(w *testCluster) { w.deaths.restartDelay = again })
 		}
 	}
 }
@@ -64,19 +64,19 @@
 )
 
 // checkStopped checks that a request was deadly and that its runs were stopped.
-func (w *world) checkStopped(is *is.I, path string) {
+func (w *testCluster) checkStopped(is *is.I, path string) {
 	is.Helper()
 	ended, after := w.deaths.counts(path)
 	tooLate := w.deaths.tooLate(path)
-	w.t.Logf("%d instances: %d ended, %d sent after, %d of them late", len(w.nodes), ended, after, tooLate)
+	w.t.Logf("%d instances: %d ended, %d sent after, %d of them late", len(w.instances), ended, after, tooLate)
 	is.True(ended >= maxEndsPerRequest) // otherwise the test proves nothing
 	is.True(tooLate <= maxLateRuns)
 }
 
 // askAndLeave requests a path ten times a second for a time d, from clients that disconnect
 // after the time stay.
-func (w *world) askAndLeave(path string, stay, d time.Duration) {
-	names := namesOf(w)
+func (w *testCluster) askAndLeave(path string, stay, d time.Duration) {
+	names := runningNames(w)
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for i := range int(d / (100 * time.Millisecond)) {
@@ -89,18 +89,18 @@
 // An instance that is seen before its registration is known is sent all suspects once the
 // registration is known.
 func TestSuspectsArePendingForAnInstanceUntilItIsListed(t *testing.T) {
-	play(t, 4, func(is *is.I, w *world) {
+	runCluster(t, 4, func(is *is.I, w *testCluster) {
 		time.Sleep(4 * time.Second)
-		w.askDeadly("/safe/deadly", "d", 4*time.Second, namesOf(w)...)
-		s := w.nodes["n0"].node.suspects
+		w.askDeadly("/safe/deadly", "d", 4*time.Second, runningNames(w)...)
+		s := w.instances["n0"].instance.suspects
 		now := s.instance.Clock.Now()
-		s.met("unlisted", 7)
+		s.syncPeer("unlisted", 7)
 		is.True(s.needsSync("unlisted", 7, now.Add(2*syncInterval)))
-		started := w.nodes["n1"].node.incarnation() // n1 itself may be met at the same moment
+		started := w.instances["n1"].instance.incarnation() // n1 itself may be met at the same moment
 		s.mu.Lock()
 		s.peers["n1"] = &syncState{incarnation: started, pending: true}
 		s.mu.Unlock()
-		s.met("n1", started)
+		s.syncPeer("n1", started)
 		is.True(!s.needsSync("n1", started, now.Add(2*syncInterval)))
 		time.Sleep(time.Second)
 	}, manyEndpoints)
--- a/internal/front/digest.go
+++ b/internal/front/digest.go
@@ -25,18 +25,18 @@
 // serveReport applies the report of an instance and answers with a digest of all other
 // instances' counts.
 func (n *Instance) serveReport(call *peerpb.Call, answer func(*peerpb.Answer) error) error {
-	if !n.state.members.topology().Self {
+	if !n.state.members.topology().IsHub {
 		return fault.New(fault.StepPeer, call.From, fault.KindNotFound, fault.NotRun, "this instance is not a hub")
 	}
 	q, now := call.GetReport(), n.Clock.Now()
 	n.state.members.markSeen(call.From, now)
 	n.applyInstances(call.From, q.Share.Instances, now)
-	n.suspects.met(call.From, q.Share.Incarnation)
+	n.suspects.syncPeer(call.From, q.Share.Incarnation)
 	n.applyClock(call.From, q.Share.Wall, now)
 	report := decodeReport(q.Share, now)
 	n.groups.recordReport(call.From, report)
 	n.limits.Apply(report.limits, now)
-	n.versions.Advertised(call.From, q.Share.ConfigVersion, now)
+	n.versions.RecordAdvertised(call.From, q.Share.ConfigVersion, now)
 	n.applyPermits(q.Share.Rollouts, now)
 	// Counts reported to an earlier incarnation of this hub are already known to the other hubs
 	// and must not be added again.
@@ -51,20 +51,20 @@
 
 // addReportCounts adds the counts in an instance's report to this hub's group.
 func (n *Instance) addReportCounts(from tally.Source, s *peerpb.Share) {
-	n.rollouts.Reported(from, rolloutCounts(s.Rollouts.GetCounts()))
+	n.rollouts.ApplyReport(from, decodeRolloutCounts(s.Rollouts.GetCounts()))
 	admitted, _, runs := accountCounts(s.Accounts)
 	a := n.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.counters.reportedUnits.Take(from, admitted)
-	a.counters.reportedRuns.Take(from, runs)
+	a.counters.reportedUnits.Apply(from, admitted)
+	a.counters.reportedRuns.Apply(from, runs)
 }
 
 // decodeReport extracts an instance's current load, estimates, roll-out states and rate limits
 // from its report.
-func decodeReport(s *peerpb.Share, now time.Time) reported {
+func decodeReport(s *peerpb.Share, now time.Time) instanceReport {
 	update := updateOf(s)
-	r := reported{uses: update.Uses, demand: update.Demand, risk: make(map[string]float64), rollouts: rolloutStates(s.Rollouts), limits: wire.Decode(s.Limits), at: now}
+	r := instanceReport{uses: update.Loads, demand: update.Demand, risk: make(map[string]float64), rollouts: decodeRolloutStates(s.Rollouts), limits: wire.Decode(s.Limits), at: now}
 	for name, l := range update.Estimates {
 		r.risk[name] = l.Risk
 	}
@@ -74,8 +74,8 @@
 // buildDigest returns the digest for one instance: the combined state of all other instances of
 // the fleet. Usage windows are included only if asked for.
 func (n *Instance) buildDigest(to string, windows bool, now time.Time) *peerpb.Digest {
-	d := &peerpb.Digest{Incarnation: n.incarnation(), ConfigVersion: n.versions.Own(), Seasoned: now.Sub(n.start) > quota.Season, ServersAt: int64(n.watchProgress.Newest())}
-	reports, others := n.groups.own(now), n.groups.currentGroups(now)
+	d := &peerpb.Digest{Incarnation: n.incarnation(), ConfigVersion: n.versions.InForce(), Seasoned: now.Sub(n.start) > quota.WarmUp, ServersAt: int64(n.watchProgress.Newest())}
+	reports, others := n.groups.currentReports(now), n.groups.currentGroups(now)
 	d.Instances = n.advertisedInstances(now)
 	for _, other := range others {
 		d.Instances = append(d.Instances, agedInstances(other.share.Instances, now.Sub(other.at))...)
@@ -89,11 +89,11 @@
 	n.addDigestCounts(d, others, len(reports), windows, now)
 	sum := n.sumGroup(reports, to, now)
 	for _, other := range others {
-		addUses(sum.Uses, other.update.Uses)
+		addUses(sum.Loads, other.update.Loads)
 		addDemand(sum.Demand, other.update.Demand)
 	}
-	d.Servers = useShares(sum.Uses)
-	for name, l := range n.tracker.Agreed() {
+	d.Servers = useShares(sum.Loads)
+	for name, l := range n.tracker.CombinedEstimates() {
 		l.Pace.Weight = float64(1 + len(others))
 		d.Services = append(d.Services, serviceShare(name, sum.Demand[name], l))
 	}
@@ -125,7 +125,7 @@
 		level, limited := levels[name]
 		d.Levels, d.Limited = append(d.Levels, float32(level)), append(d.Limited, limited)
 	}
-	own := &peerpb.Group{Hub: n.Settings.Name, Incarnation: n.incarnation(), Wall: n.walltime.Own(now).UnixNano(), Stands: int64(1 + reporters)}
+	own := &peerpb.Group{Hub: n.Settings.Name, Incarnation: n.incarnation(), Wall: n.walltime.Uncorrected(now).UnixNano(), Stands: int64(1 + reporters)}
 	d.Groups = append(d.Groups, addGroupCounts(own, d.Accounts, accountShares(units, nil, runs), windows))
 	for name, other := range others {
 		s := other.share
@@ -152,8 +152,8 @@
 
 // locallyPlacedUses returns this instance's use of those endpoints for which it places requests
 // itself. The use of model engines is known to the hubs that place requests there.
-func (n *Instance) locallyPlacedUses() map[string]balance.Use {
-	uses := n.tracker.Uses()
+func (n *Instance) locallyPlacedUses() map[string]balance.Load {
+	uses := n.tracker.Loads()
 	v := n.view.Load()
 	if v.Config == nil {
 		return uses
@@ -175,7 +175,7 @@
 func (n *Instance) applyDigest(hub tally.Source, units unitCounts, runs runCounts, d *peerpb.Digest, now time.Time) {
 	n.state.members.markSeen(hub.Instance, now)
 	n.applyInstances(hub.Instance, d.Instances, now)
-	n.suspects.met(hub.Instance, hub.Incarnation)
+	n.suspects.syncPeer(hub.Instance, hub.Incarnation)
 	if n.reading.Load() {
 		n.restartWatchesIfBehind(hub.Instance, store.Revision(d.ServersAt), now)
 	}
@@ -184,18 +184,18 @@
 		n.applyClock(g.Hub, g.Wall, now)
 	}
 	n.limits.Apply(wire.Decode(d.Limits), now)
-	n.versions.Advertised(hub.Instance, d.ConfigVersion, now)
+	n.versions.RecordAdvertised(hub.Instance, d.ConfigVersion, now)
 	n.applyPermits(d.Rollouts, now)
-	n.rollouts.Apply(rollctl.ByHubs, tally.Source{Instance: digestSource}, rolloutCounts(d.Rollouts.GetCounts()))
-	n.rollouts.ApplyStates(digestSource, rolloutStates(d.Rollouts), now)
+	n.rollouts.ApplyCounts(rollctl.ThroughHub, tally.Source{Instance: digestSource}, decodeRolloutCounts(d.Rollouts.GetCounts()))
+	n.rollouts.ApplyStates(digestSource, decodeRolloutStates(d.Rollouts), now)
 	demand, estimates := serviceUpdate(d.Services)
-	update := balance.Update{Uses: usesOf(d.Servers), Demand: demand, Estimates: estimates}
+	update := balance.Update{Loads: usesOf(d.Servers), Demand: demand, Estimates: estimates}
 	n.tracker.Apply(digestSource, update, now.Add(minShareTTL), now)
 	a := n.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.counters.units.Confirmed(hub, units)
-	a.counters.runs.Confirmed(hub, runs)
+	a.counters.units.Acknowledge(hub, units)
+	a.counters.runs.Acknowledge(hub, runs)
 	for _, g := range d.Groups {
 		n.applyDigestGroup(hub, g, d, now)
 	}
@@ -204,7 +204,7 @@
 // applyDigestGroup applies the counts of one group of a digest. The caller holds the
 // admission's mu.
 func (n *Instance) applyDigestGroup(hub tally.Source, g *peerpb.Group, d *peerpb.Digest, now time.Time) {
-	update := quota.Update{Admitted: make(map[string]float64, len(d.Accounts)), Stands: int(g.Stands)}
+	update := quota.Update{Admitted: make(map[string]float64, len(d.Accounts)), InstanceCount: int(g.Stands)}
 	for i, units := range g.Admitted {
 		if i < len(d.Accounts) {
 			update.Admitted[d.Accounts[i]] = float64(units)
@@ -212,13 +212,13 @@
 	}
 	from := tally.Source{Instance: g.Hub, Incarnation: g.Incarnation}
 	if from == hub {
-		update.Stands-- // this instance is counted in its hub's group
-		update.Seasoned, update.Levels = d.Seasoned, digestLevels(d)
+		update.InstanceCount-- // this instance is counted in its hub's group
+		update.WarmedUp, update.Levels = d.Seasoned, digestLevels(d)
 	}
 	n.applyGroupUnits(from, update, now)
 	if len(g.Windows) > 0 {
 		_, _, runs := accountCounts(g.Windows)
-		n.admission.counters.usage.Apply(groupOf(g.Hub), g.Incarnation, windowsOf(runs))
+		n.admission.counters.usage.Apply(groupName(g.Hub), g.Incarnation, windowsOf(runs))
 	}
 }
 
--- a/internal/front/duties.go
+++ b/internal/front/duties.go
@@ -23,7 +23,7 @@
 
 // usageCatchUpWindows returns how many past windows a new leader reports: those whose
 // reports are not late yet.
-func (n *Instance) usageBehind() int64 {
+func (n *Instance) usageCatchUpWindows() int64 {
 	b := n.Settings.Bounds
 	return int64(b.UsageLate()/b.UsageWindow()) + 1
 }
@@ -58,7 +58,7 @@
 
 // saveOpenUsage saves the counts of the windows that are not reported yet to the store,
 // while this instance is the leader, so that they survive if all instances die at once.
-func (n *Instance) keepOpenUsage(ctx context.Context) error {
+func (n *Instance) saveOpenUsage(ctx context.Context) error {
 	var last []byte
 	for n.Clock.Sleep(ctx, openUsageInterval) {
 		call, cancel, token, ok := n.leaderContext(ctx)
--- a/internal/front/era.go
+++ b/internal/front/era.go
@@ -74,16 +74,16 @@
 
 // eraFirstSeen is the change that carries the wall-clock time at which any instance first saw an
 // era.
-type eraMarked struct {
+type eraFirstSeen struct {
 	number int64
 	at     time.Time
 }
 
-func (eraMarked) change() {}
+func (eraFirstSeen) change() {}
 
 // applyEraFirstSeen adopts the time at which an era was first seen if it is earlier than the time
 // known here.
-func (s *state) applyEraFirstSeen(c eraMarked, now time.Time) {
+func (s *state) applyEraFirstSeen(c eraFirstSeen, now time.Time) {
 	at := now.Add(c.at.Sub(s.instance.walltime.At(now)))
 	if c.number == s.era.number && at.Before(s.era.restoredAt) {
 		s.era.restoredAt = at
@@ -93,11 +93,11 @@
 // storeMayLackVersions reports whether a read of the store cannot prove that a configuration is
 // the newest: after a restore, a later version may be lost and not be rewritten yet.
 func (s *state) storeMayLackVersions(now time.Time) bool {
-	return (s.behind || s.era.startedIn) && s.settling(now)
+	return (s.behind || s.era.startedIn) && s.restoreSettling(now)
 }
 
 // restoreSettling reports whether operators and endpoints may still be rewriting entries that a
 // restore of the store lost.
-func (s *state) settling(now time.Time) bool {
+func (s *state) restoreSettling(now time.Time) bool {
 	return !s.era.restoredAt.IsZero() && now.Sub(s.era.restoredAt) < restoreSettleTime
 }
--- a/internal/front/follow.go
+++ b/internal/front/follow.go
@@ -28,10 +28,10 @@
 	maxDirectReadRetry    = 1200 * time.Millisecond // upper bound between reads by an instance that gets no answer from any hub
 	maxWatchRetry         = 700 * time.Millisecond  // upper bound between watches: missed changes must be applied within the bounds
 	minOutageRetry        = 600 * time.Millisecond  // initial delay for listings and registration; the configuration read detects the store's return
-	retryMost             = 6 * time.Second         // upper bound for the same
+	maxOutageRetry        = 6 * time.Second         // upper bound for the same
 	stableWatchTime       = time.Second             // a watch that lasted longer resets the retry delay
 	registerTTL           = 9 * time.Second         // long, since each renewal is a charged call
-	registerKeep          = 3 * time.Second
+	registerRenewInterval = 3 * time.Second
 	registerSpread        = 3 * time.Second // the store accepts a few hundred writes a second
 	// WatchWait is how long the store may hold a watch call that has no changes to return.
 	WatchWait          = 20 * time.Second
@@ -62,7 +62,7 @@
 			pause = retry.NextBackOff()
 		} else {
 			retry.Reset()
-			n.hub.Proved(items, sent)
+			n.hub.RecordProof(items, sent)
 			n.applyOperatorItems(items, sent)
 		}
 		if !n.sleepOrResume(ctx, pause) {
@@ -132,7 +132,7 @@
 }
 
 // awaitSignal waits for a value on the channel, and reports false if ctx ended first.
-func kicked(ctx context.Context, kick <-chan struct{}) bool {
+func awaitSignal(ctx context.Context, kick <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -161,7 +161,7 @@
 		return ctx.Err()
 	}
 	list := func([]store.Item, store.Revision) {} // nothing to do: pollConfig applies the configuration
-	return n.watch(ctx, watchTarget{n.Decoder.OperatorPrefix(), n.hub.Operators, list, n.awaitRole})
+	return n.watch(ctx, watchTarget{n.Decoder.OperatorPrefix(), n.hub.OperatorKeys, list, n.awaitRole})
 }
 
 func (n *Instance) watchEndpoints(ctx context.Context) error {
@@ -177,7 +177,7 @@
 // watchTarget is a key prefix of the store that an instance lists and watches.
 type watchTarget struct {
 	prefix string
-	mirror *mirror.Copy                                // served to instances that read the store through this one
+	mirror *mirror.Replica                             // served to instances that read the store through this one
 	list   func(items []store.Item, at store.Revision) // applies a complete listing
 	await  func(context.Context) bool                  // waits until changes have to be watched; false if ctx ended first
 }
@@ -185,7 +185,7 @@
 // watch lists a prefix of the store and watches its changes, and lists again whenever it may have
 // missed one.
 func (n *Instance) watch(ctx context.Context, p watchTarget) error {
-	outageRetry, watchRetry := newBackoff(minOutageRetry, retryMost), newBackoff(minRetryDelay, maxWatchRetry)
+	outageRetry, watchRetry := newBackoff(minOutageRetry, maxOutageRetry), newBackoff(minRetryDelay, maxWatchRetry)
 	for ctx.Err() == nil {
 		sent, reset := n.Clock.Now(), n.watchReset.Load().ctx
 		items, at, err := n.list(ctx, p.prefix, reset)
@@ -243,7 +243,7 @@
 
 // register keeps this instance's registration in the store under a lease until ctx ends.
 func (n *Instance) register(ctx context.Context) error {
-	retry := newBackoff(minOutageRetry, retryMost)
+	retry := newBackoff(minOutageRetry, maxOutageRetry)
 	value, err := json.Marshal(n.registration())
 	if err != nil {
 		return fmt.Errorf("encode registration: %w", err)
@@ -275,7 +275,7 @@
 // moment.
 func (n *Instance) awaitRegistrationSlot(ctx context.Context) {
 	if n.grouped() {
-		n.Clock.Sleep(ctx, time.Duration(topology.Pair(n.Settings.Name, "register")%uint64(registerSpread)))
+		n.Clock.Sleep(ctx, time.Duration(topology.PairHash(n.Settings.Name, "register")%uint64(registerSpread)))
 	}
 }
 
@@ -285,9 +285,9 @@
 // the end of the last renewal.
 func (n *Instance) renewRegistration(ctx context.Context, lease, era int64) {
 	until := n.Clock.Now().Add(registerTTL)
-	for n.sleepOrResume(ctx, registerKeep) {
+	for n.sleepOrResume(ctx, registerRenewInterval) {
 		sent := n.Clock.Now()
-		call, cancel := context.WithTimeout(ctx, registerKeep/2)
+		call, cancel := context.WithTimeout(ctx, registerRenewInterval/2)
 		err := n.Store.Keep(call, lease)
 		cancel()
 		if errors.Is(err, store.ErrNotFound) {
--- a/internal/front/follower.go
+++ b/internal/front/follower.go
@@ -22,7 +22,7 @@
 
 // Intervals and time-outs for reading the store through hubs.
 const (
-	mirrorTimeout     = hub.Wait + 350*time.Millisecond
+	mirrorTimeout     = hub.LongPollWait + 350*time.Millisecond
 	hubAnswerTimeout  = 500 * time.Millisecond // without an answer of any hub for this long, an instance reads the store itself
 	hubRetryInterval  = 150 * time.Millisecond // between two rounds over the hubs while none has current data
 	hubRecoveryGrace  = 700 * time.Millisecond // an instance that reaches the store waits this long for the hubs to reach it too
@@ -36,7 +36,7 @@
 // not all instances of a large fleet read it.
 func (n *Instance) followStore(ctx context.Context) error {
 	n.discoverPeers(ctx)
-	if !n.state.members.topology().Direct() {
+	if !n.state.members.topology().ReadsStore() {
 		n.readThroughHubs(ctx)
 	}
 	for ctx.Err() == nil {
@@ -52,7 +52,7 @@
 	defer cancel()
 	n.reading.Store(true)
 	defer n.reading.Store(false)
-	n.event(event.StoreFollowed, zap.Bool("directly", true), zap.Bool("stands_in", n.standIn.asked(n.Clock.Now())))
+	n.event(event.StoreSourceChanged, zap.Bool("directly", true), zap.Bool("stands_in", n.standIn.requested(n.Clock.Now())))
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for _, serve := range []func(context.Context) error{n.pollConfig, n.watchConfig, n.watchEndpoints, n.watchInstances} {
@@ -65,7 +65,7 @@
 	needed := n.Clock.Now()
 	for n.Clock.Sleep(ctx, roleCheckInterval) {
 		now := n.Clock.Now()
-		if n.readsItself() || n.view.Load().Config == nil || n.configReadStale() {
+		if n.mustReadStore() || n.view.Load().Config == nil || n.configReadStale() {
 			needed = now
 		}
 		if now.After(stayUntil) && now.Sub(needed) > roleChangeGrace {
@@ -77,18 +77,20 @@
 
 // configReadStale reports whether the last regular read of the configuration, directly or through
 // hubs, is older than the maximum age of a proof that hubs answer with.
-func (n *Instance) configReadStale() bool { return n.Clock.Since(n.view.Load().ReadAt) > hub.Stale }
+func (n *Instance) configReadStale() bool {
+	return n.Clock.Since(n.view.Load().OwnConfirmedAt) > hub.MaxProofAge
+}
 
 // readThroughHubs follows the store through instances that read it. It returns when this instance
 // has to read the store itself, or when it can reach the store and none of the others can.
 func (n *Instance) readThroughHubs(ctx context.Context) {
-	n.event(event.StoreFollowed, zap.Bool("directly", false))
-	ctx, cancel := n.standIn.untilAsked(ctx)
+	n.event(event.StoreSourceChanged, zap.Bool("directly", false))
+	ctx, cancel := n.standIn.untilRequested(ctx)
 	defer cancel()
 	s := &follower{instance: n, lastAnswer: n.Clock.Now(), retry: newBackoff(minRetryDelay, maxDirectReadRetry)}
 	for ctx.Err() == nil {
 		hubs := n.state.members.topology()
-		if n.readsItself() {
+		if n.mustReadStore() {
 			return
 		}
 		s.followReaders(ctx, hubs)
@@ -113,8 +115,8 @@
 }
 
 // mustReadStore reports whether this instance has to read the store itself.
-func (n *Instance) readsItself() bool {
-	return n.state.members.topology().Direct() || n.standIn.asked(n.Clock.Now())
+func (n *Instance) mustReadStore() bool {
+	return n.state.members.topology().ReadsStore() || n.standIn.requested(n.Clock.Now())
 }
 
 // follower is the state of reading the store through hubs.
@@ -125,9 +127,9 @@
 	ordersRevision                       store.Revision // highest revision of the roll-out orders held
 	lastAnswer                           time.Time
 	standby                              string                      // last instance that answered, if it is one that stands in for the readers; else empty
-	round                                int                         // index of the round of standbys to ask next
-	without                              int                         // consecutive answers that the store cannot be read
-	aloneAt                              time.Time                   // when this instance tries the store itself despite these answers
+	standbyRound                         int                         // index of the round of standbys to ask next
+	unavailable                          int                         // consecutive answers that the store cannot be read
+	nextDirectRead                       time.Time                   // when this instance tries the store itself despite these answers
 	retry                                *backoff.ExponentialBackOff // of direct reads of the store while no hub answers
 	directSince                          time.Time                   // since when the store answers this instance while no hub has current data
 }
@@ -150,14 +152,14 @@
 func (s *follower) follow(ctx context.Context, through topology.Member, standIn bool) bool {
 	answered := false
 	begun := s.instance.Clock.Now()
-	for ctx.Err() == nil && !s.instance.readsItself() {
-		if standIn && s.instance.Clock.Since(begun) > standInFor {
+	for ctx.Err() == nil && !s.instance.mustReadStore() {
+		if standIn && s.instance.Clock.Since(begun) > readerRetryInterval {
 			return true
 		}
 		sent := s.instance.Clock.Now()
 		a, err := s.ask(ctx, through, standIn)
-		if hub.SaysUnknown(err) {
-			s.without++
+		if hub.IsNotCurrent(err) {
+			s.unavailable++
 		}
 		if err != nil {
 			return answered
@@ -169,7 +171,7 @@
 		}
 		answered = true
 		s.setStandby(lo.Ternary(standIn, through.Name, ""))
-		s.lastAnswer, s.directSince, s.without = sent, time.Time{}, 0
+		s.lastAnswer, s.directSince, s.unavailable = sent, time.Time{}, 0
 		s.retry.Reset()
 		s.applyAnswer(a, read, sent)
 	}
@@ -189,7 +191,7 @@
 		return nil, fmt.Errorf("read through %s: %w", m.Name, err)
 	}
 	if mirror := a.GetMirror(); mirror != nil {
-		if err := errors.Join(hub.Unpack(mirror.Servers), hub.Unpack(mirror.Nodes)); err != nil {
+		if err := errors.Join(hub.UnpackPart(mirror.Servers), hub.UnpackPart(mirror.Nodes)); err != nil {
 			return nil, fault.New(fault.StepPeer, m.Name, fault.KindBroken, fault.NotRun, "unpack mirrored entries: %w", err)
 		}
 		return mirror, nil
@@ -209,7 +211,7 @@
 		}
 		read.value = value
 	}
-	if a.ProofAge != hub.NotProved {
+	if a.ProofAge != hub.NoProof {
 		read.provedAt = sent.Add(-time.Duration(a.ProofAge))
 	}
 	return read, nil
@@ -226,7 +228,7 @@
 	}
 	if p := a.Servers; p != nil {
 		s.endpointsRevision = store.Revision(p.At)
-		if events := hub.Events(p); p.Whole {
+		if events := hub.DecodeEvents(p); p.Whole {
 			n.state.send(listedEndpoints{hub.Items(events), s.endpointsRevision})
 		} else {
 			s.sendChanges(events)
@@ -234,7 +236,7 @@
 	}
 	if p := a.Nodes; p != nil {
 		s.instancesRevision = store.Revision(p.At)
-		if events := hub.Events(p); p.Whole {
+		if events := hub.DecodeEvents(p); p.Whole {
 			n.state.send(listedInstances{hub.Items(events), s.instancesRevision})
 		} else {
 			s.sendChanges(events)
@@ -253,7 +255,7 @@
 
 // mirroredOrders decodes the roll-out orders of an answer.
 func mirroredOrders(orders []*peerpb.MirrorItem) operatorsRead {
-	return operatorsRead{hub.Items(hub.Events(&peerpb.MirrorPart{Items: orders}))}
+	return operatorsRead{hub.Items(hub.DecodeEvents(&peerpb.MirrorPart{Items: orders}))}
 }
 
 // sendChanges sends changes to the state, if there are any.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -98,7 +98,7 @@
 	state         *state
 	view          atomic.Pointer[forward.View]
 	walltime      *walltime.Clock
-	peers         *peer.Instance
+	peers         *peer.Transport
 	backends      *backend.Client
 	notices       *notice.Table // what endpoints announced in their answers
 	limits        *ratelimit.Table
@@ -109,11 +109,11 @@
 	placer        *placer
 	suspects      *suspects
 	rollouts      *rollctl.Control
-	knownRollouts atomic.Pointer[[]rollctl.Known]
+	knownRollouts atomic.Pointer[[]rollctl.ServiceRollout]
 	hub           *hub.Mirror
 	groups        *groups
 	versions      *version.Tracker
-	watchProgress mirror.Progress
+	watchProgress mirror.StallDetector
 	reading       atomic.Bool  // this instance reads the store itself
 	registered    atomic.Bool  // the store is believed to hold this instance's registration
 	revision      atomic.Int64 // of the configuration's item held, a store.Revision
@@ -141,18 +141,18 @@
 	n.view.Store(&forward.View{Instances: 1})
 	n.watchReset.Store(newSignal())
 	n.refreshed.Store(newSignal())
-	n.notices = notice.New(notice.Options{Changed: n.onNotice, TimeOfDay: n.walltime.At})
+	n.notices = notice.New(notice.Options{OnChange: n.onNotice, TimeOfDay: n.walltime.At})
 	n.limits = newLimits(n)
 	n.placer = newPlacer(n)
 	n.suspects = newSuspects(n)
 	n.rollouts = rollctl.New(rollout.Bound{Share: o.Settings.Bounds.ExposeShare, Slack: o.Settings.Bounds.ExposeSlack}, n.source(), rand.New(rand.NewPCG(o.Seed, seedRollouts)), o.Clock)
-	n.knownRollouts.Store(&[]rollctl.Known{})
+	n.knownRollouts.Store(&[]rollctl.ServiceRollout{})
 	n.provide()
 	var err error
 	if n.metrics, err = do.Invoke[*metrics.Metrics](n.injector); err != nil {
 		return nil, fmt.Errorf("create instance: %w", err)
 	}
-	n.peers = do.MustInvoke[*peer.Instance](n.injector)
+	n.peers = do.MustInvoke[*peer.Transport](n.injector)
 	n.backends = do.MustInvoke[*backend.Client](n.injector)
 	n.tracker = do.MustInvoke[*balance.Tracker](n.injector)
 	n.admission = do.MustInvoke[*admission](n.injector)
@@ -160,7 +160,7 @@
 	n.handler = do.MustInvoke[*forward.Handler](n.injector)
 	n.state = newState(n)
 	n.peers.SetHandler(n)
-	n.peers.SetCrosses(n.inOtherHall)
+	n.peers.SetCrossHallFunc(n.inOtherHall)
 	return n, nil
 }
 
@@ -175,7 +175,7 @@
 			Traffic: n.peerTraffic,
 		})
 	})
-	do.Provide(n.injector, func(do.Injector) (*peer.Instance, error) { return peer.New(o.Net, s.Name, nil, o.Clock), nil })
+	do.Provide(n.injector, func(do.Injector) (*peer.Transport, error) { return peer.New(o.Net, s.Name, nil, o.Clock), nil })
 	do.Provide(n.injector, func(do.Injector) (*backend.Client, error) {
 		return backend.New(backend.Options{Net: o.Net, Protocol: o.Protocol, Notices: n.notices, Limits: n.limits, Clock: o.Clock}), nil
 	})
@@ -191,7 +191,7 @@
 	do.Provide(n.injector, func(do.Injector) (*forward.Handler, error) {
 		return forward.New(forward.Options{
 			Protocol: o.Protocol, View: n.view.Load, Backends: n.backends, Placer: n.placer, Admission: n.admission, Quarantine: n.suspects,
-			Clock: o.Clock, Log: o.Log, Metrics: n.metrics, CertainFor: denialProofAge,
+			Clock: o.Clock, Log: o.Log, Metrics: n.metrics, ConfigFreshFor: denialProofAge,
 		}), nil
 	})
 }
@@ -267,7 +267,7 @@
 	metricsServer := &http.Server{Handler: n.serveMetrics(), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = metricsServer.Serve(listeners[3]) }()
 	if err := n.Clock.Err(); err != nil {
-		n.event(event.ClockStandsStill, zap.Error(err))
+		n.event(event.ClockExcludesSuspensions, zap.Error(err))
 	}
 	n.event(event.Started, zap.String("node", s.Name), zap.Stringer("front", s.Front), zap.Int64("incarnation", n.incarnation()))
 	clients := n.serveClients(ctx, listeners[0])
@@ -303,8 +303,8 @@
 		{"suspects", n.suspects.sendUpdates},
 		{"elector", n.elector.Run},
 		{"usage", n.reportUsage},
-		{"open usage", n.keepOpenUsage},
-		{"fleet", n.orderEndpoints},
+		{"open usage", n.saveOpenUsage},
+		{"fleet", n.scaleEndpoints},
 		{"roll-outs", n.leadRollouts},
 		{"upkeep", n.maintain},
 		{"reload", n.reload},
@@ -336,13 +336,13 @@
 			now := n.Clock.Now()
 			inUse := n.endpointsInUse()
 			used := func(id string) bool { return inUse[id] }
-			n.backends.Tidy(now, used)
-			n.notices.Forget(n.isListedName(), now)
+			n.backends.CloseUnused(now, used)
+			n.notices.Expire(n.isListedName(), now)
 			n.limits.Expire(used, now)
 			n.tracker.Forget(used)
-			n.placer.tidy(used, now)
-			n.suspects.tidy(used, now)
-			n.peers.Tidy(now)
+			n.placer.expire(used, now)
+			n.suspects.expire(used, now)
+			n.peers.CloseIdle(now)
 		}
 	}
 }
@@ -356,8 +356,8 @@
 // because their connections may be dead, and the configuration and the registration are renewed
 // at once.
 func (n *Instance) onResume(w clock.Resumption) {
-	n.event(event.Resumed, zap.Duration("stood", w.Stood), zap.Duration("suspended", w.Suspended), zap.Int("ended", w.Ended), zap.Duration("config_age", n.Clock.Since(n.view.Load().ReadAt)))
-	if w.Stood >= longPause {
+	n.event(event.ProcessResumed, zap.Duration("stood", w.Stalled), zap.Duration("suspended", w.Suspended), zap.Int("ended", w.Ended), zap.Duration("config_age", n.Clock.Since(n.view.Load().OwnConfirmedAt)))
+	if w.Stalled >= longPause {
 		n.admission.resume(n.Clock.Now())
 	}
 	n.refresh()
@@ -380,7 +380,7 @@
 func (n *Instance) peerTraffic() []metrics.Traffic {
 	var out []metrics.Traffic
 	for f, v := range n.peers.Traffic() {
-		out = append(out, metrics.Traffic{Kind: f.Kind, Crosses: f.Crosses, Calls: v.Calls, Sent: v.Sent, Received: v.Received})
+		out = append(out, metrics.Traffic{Kind: f.Kind, CrossHall: f.CrossHall, Calls: v.Calls, Sent: v.Sent, Received: v.Received})
 	}
 	return out
 }
@@ -388,11 +388,11 @@
 // onNotice handles a new announcement that an endpoint made in an answer.
 func (n *Instance) onNotice(endpoint registry.Endpoint, announced notice.Notice, until time.Time) {
 	if announced.Leaving {
-		n.event(event.ServerSaysLeaving, zap.String("server", endpoint.ID), zap.Bool("listed", n.endpointsInUse()[endpoint.ID]))
+		n.event(event.FrontEndpointReportedLeaving, zap.String("server", endpoint.ID), zap.Bool("listed", n.endpointsInUse()[endpoint.ID]))
 		n.state.send(announcedLeaving{endpoint.ID})
 	}
-	if announced.RestFor > 0 {
-		n.event(event.ServerAsksRest, zap.String("server", endpoint.ID), zap.Duration("rest", announced.RestFor), zap.Time("until", until))
+	if announced.Backoff > 0 {
+		n.event(event.FrontEndpointBackOff, zap.String("server", endpoint.ID), zap.Duration("rest", announced.Backoff), zap.Time("until", until))
 	}
 }
 
@@ -426,7 +426,7 @@
 				continue
 			}
 			s, err := n.Reread()
-			n.event(event.Reloaded, zap.Bool("changed", err == nil && s != n.Settings), zap.Error(err))
+			n.event(event.SettingsReloaded, zap.Bool("changed", err == nil && s != n.Settings), zap.Error(err))
 		}
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,7 +16,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-func play(t *testing.T, instances int, f func(is *is.I, w *world), options ...func(*world)) {
+func runCluster(t *testing.T, instances int, f func(is *is.I, w *testCluster), options ...func(*testCluster)) {
 	t.Helper()
 	bubble(t, func(t *testing.T) {
 		w := newTestCluster(t, instances, options...)
@@ -45,8 +45,8 @@
 }
 
 func TestAConfigurationIsInForceEverywhereSoon(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
-		for name := range w.nodes {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
+		for name := range w.instances {
 			is.True(w.ready(name))
 			is.Equal(w.ask(name, "/safe/a", "k1", "a"+name), 200)
 			is.Equal(w.ask(name, "/new/a", "k1", "b"+name), 404)
@@ -54,13 +54,13 @@
 		}
 		w.configure(4, "k2", "k3")
 		time.Sleep(1500 * time.Millisecond)
-		for name := range w.nodes {
+		for name := range w.instances {
 			is.Equal(w.ask(name, "/new/a", "k3", "d"+name), 200)
 			is.Equal(w.ask(name, "/safe/a", "k1", "e"+name), 401)
 		}
 		w.configure(3, "k1") // an older version never comes back
 		time.Sleep(3 * time.Second)
-		for name := range w.nodes {
+		for name := range w.instances {
 			is.Equal(w.ask(name, "/new/a", "k3", "f"+name), 200)
 		}
 	})
@@ -68,9 +68,9 @@
 
 // A watch that stops delivering changes must not delay a new configuration: the regular read finds
 // it.
-func TestASilentWatchIsMadeGoodByTheRead(t *testing.T) {
-	play(t, 2, func(is *is.I, w *world) {
-		w.store.SetFaults("n0", storetest.Faults{Silent: true})
+func TestASilentWatchIsCorrectedByTheRead(t *testing.T) {
+	runCluster(t, 2, func(is *is.I, w *testCluster) {
+		w.store.SetFaults("n0", storetest.Faults{WatchSilent: true})
 		w.configure(2, "k1")
 		time.Sleep(1900 * time.Millisecond)
 		is.Equal(w.ask("n0", "/new/a", "k1", "a"), 200)
@@ -80,9 +80,9 @@
 // The store refuses one instance. Before a revoked key could work there for too long, the instance
 // stops accepting keys and reports that it is not ready. It recovers soon after the store serves
 // it again.
-func TestANodeAloneWithoutTheStore(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
-		w.store.SetFaults("n0", storetest.Faults{Busy: true})
+func TestOneInstanceWithoutTheStore(t *testing.T) {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
+		w.store.SetFaults("n0", storetest.Faults{Refuse: true})
 		time.Sleep(200 * time.Millisecond)
 		w.configure(2, "k2")
 		revokedAt := time.Now()
@@ -105,33 +105,33 @@
 
 // An endpoint announces that it is leaving, or its entry is deleted, just after the store refused
 // one instance for a while. No request is sent to the endpoint after the bound.
-func TestALeavingServerGetsNoNewWork(t *testing.T) {
+func TestALeavingEndpointGetsNoNewRequests(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		play(t, 2, func(is *is.I, w *world) {
-			w.store.SetFaults("n0", storetest.Faults{Busy: true})
+		runCluster(t, 2, func(is *is.I, w *testCluster) {
+			w.store.SetFaults("n0", storetest.Faults{Refuse: true})
 			time.Sleep(2 * time.Second)
 			w.store.SetFaults("n0", storetest.Faults{})
 			time.Sleep(500 * time.Millisecond)
 			if gone {
-				w.store.Put("server/"+serverID(0), nil)
+				w.store.Put("server/"+endpointID(0), nil)
 			} else {
-				w.putServer(0, true)
+				w.putEndpoint(0, true)
 			}
 			left := time.Now()
 			for i := range 60 {
 				time.Sleep(50 * time.Millisecond)
 				w.ask(fmt.Sprint("n", i%2), "/once/a", "k1", fmt.Sprint("r", i))
 			}
-			is.True(w.lastAt(serverID(0)).Sub(left) < 2*time.Second)
-			is.True(w.lastAt(serverID(1)).Sub(left) > 2*time.Second) // the others do the work
+			is.True(w.lastRequestAt(endpointID(0)).Sub(left) < 2*time.Second)
+			is.True(w.lastRequestAt(endpointID(1)).Sub(left) > 2*time.Second) // the others do the work
 		})
 	}
 }
 
 // An instance that has the configuration but has not listed the endpoints yet lets clients wait
 // instead of refusing them for lack of endpoints.
-func TestAStartingNodeRefusesNobodyForWantOfServers(t *testing.T) {
-	play(t, 2, func(is *is.I, w *world) {
+func TestAStartingInstanceWaitsForTheEndpoints(t *testing.T) {
+	runCluster(t, 2, func(is *is.I, w *testCluster) {
 		w.kill("n0")
 		w.listDelay = 300 * time.Millisecond
 		w.start("n0")
@@ -140,15 +140,15 @@
 	})
 }
 
-func TestAllNodesKilledAtOnce(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
+func TestAllInstancesKilledAtOnce(t *testing.T) {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
 		w.kill("n0", "n1", "n2")
 		w.configure(2, "k1")
 		for _, name := range []string{"n0", "n1", "n2"} {
 			w.start(name)
 		}
 		time.Sleep(time.Second)
-		for name := range w.nodes {
+		for name := range w.instances {
 			is.True(w.ready(name))
 			is.Equal(w.ask(name, "/new/a", "k1", "a"+name), 200)
 		}
@@ -175,10 +175,10 @@
 
 // On a planned stop an instance reports at once that it is not ready, still serves requests that
 // arrive meanwhile, and finishes those that it has accepted.
-func TestAPlannedStopCutsNothing(t *testing.T) {
-	play(t, 2, func(is *is.I, w *world) {
-		w.work(1800 * time.Millisecond)
-		r := w.nodes["n0"]
+func TestAPlannedStopInterruptsNoRequest(t *testing.T) {
+	runCluster(t, 2, func(is *is.I, w *testCluster) {
+		w.setWorkTime(1800 * time.Millisecond)
+		r := w.instances["n0"]
 		var wait sync.WaitGroup
 		results := make([]int, 20)
 		begun := time.Now()
@@ -195,7 +195,7 @@
 		wait.Wait()
 		<-r.done
 		is.True(time.Since(begun) < 8*time.Second)
-		delete(w.nodes, "n0")
+		delete(w.instances, "n0")
 		for i, status := range results {
 			// After the listener is closed no request is read, so none may have run.
 			if status != 200 && w.runsOf(fmt.Sprint("r", i)) > 0 {
@@ -209,13 +209,13 @@
 }
 
 func TestUsageIsReportedOnceAndWhole(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
 		sent := 0
 		for i := range 600 {
 			time.Sleep(100 * time.Millisecond)
 			if i == 200 || i == 400 {
-				for name, r := range w.nodes {
-					if _, _, ok := r.node.elector.Token(time.Now()); ok {
+				for name, r := range w.instances {
+					if _, _, ok := r.instance.elector.Token(time.Now()); ok {
 						w.kill(name)
 						w.start(name)
 						break
@@ -235,19 +235,19 @@
 			reported += counts["north"]
 		}
 		// Only counts that a killed instance had not yet shared are lost.
-		is.True(reported > int64(sent)-10 && reported <= int64(w.started()))
+		is.True(reported > int64(sent)-10 && reported <= int64(w.startedRequests()))
 	})
 }
 
 // Random kills, planned stops, store faults and changes. The invariants are checked from what
 // clients, endpoints and the platform observe.
-func TestRandomDays(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
-		play(t, 4, func(is *is.I, w *world) { randomFaults(t, w, seed) })
+		runCluster(t, 4, func(is *is.I, w *testCluster) { randomFaults(t, w, seed) })
 	}
 }
 
-func randomFaults(t *testing.T, w *world, seed uint64) {
+func randomFaults(t *testing.T, w *testCluster, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 11))
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -268,16 +268,16 @@
 			}
 		})
 		switch x := random.Float64(); {
-		case x < 0.008 && w.nodes[name] != nil:
+		case x < 0.008 && w.instances[name] != nil:
 			w.kill(name)
-		case x < 0.012 && w.nodes[name] != nil:
-			r := w.nodes[name]
-			delete(w.nodes, name)
+		case x < 0.012 && w.instances[name] != nil:
+			r := w.instances[name]
+			delete(w.instances, name)
 			r.stop()
 			wait.Go(func() { <-r.done })
 			time.Sleep(8 * time.Second) // until its addresses are free again
 		case x < 0.02:
-			w.store.SetFaults(name, storetest.Faults{Busy: true})
+			w.store.SetFaults(name, storetest.Faults{Refuse: true})
 		case x < 0.025:
 			w.store.SetFaults(name, storetest.Faults{Down: true})
 		case x < 0.03:
@@ -288,12 +288,12 @@
 			version++
 			w.configure(version, "k1")
 		case x < 0.06:
-			w.putServer(testServers-1, false)
+			w.putEndpoint(testEndpoints-1, false)
 		case x < 0.1:
 			w.store.SetFaults(name, storetest.Faults{})
 		}
 		for _, name := range []string{"n0", "n1", "n2", "n3"} {
-			if w.nodes[name] == nil && random.Float64() < 0.05 {
+			if w.instances[name] == nil && random.Float64() < 0.05 {
 				w.start(name)
 			}
 		}
@@ -323,9 +323,9 @@
 
 // All instances are killed late in a usage window. Their counts are reported nevertheless, except
 // for those of the last moment.
-func TestUsageSurvivesTheKillOfAllNodes(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
-		window := w.nodes["n0"].node.Settings.Bounds.UsageWindow()
+func TestUsageSurvivesTheKillOfAllInstances(t *testing.T) {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
+		window := w.instances["n0"].instance.Settings.Bounds.UsageWindow()
 		for time.Since(time.Now().Truncate(window)) > 100*time.Millisecond {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -342,24 +342,24 @@
 		defer w.cloud.mu.Unlock()
 		is.Equal(w.cloud.violations, nil)
 		reported := w.cloud.windows[begun.UnixNano()/int64(window)]["north"]
-		t.Logf("%d requests ran, %d reported", w.started(), reported)
-		is.True(reported > int64(w.started())*2/3) // up to 1.2 s of counts may be lost
-		is.True(reported <= int64(w.started()))
+		t.Logf("%d requests ran, %d reported", w.startedRequests(), reported)
+		is.True(reported > int64(w.startedRequests())*2/3) // up to 1.2 s of counts may be lost
+		is.True(reported <= int64(w.startedRequests()))
 	})
 }
 
 // While the store is down it is called rarely, because the platform charges for refused calls too.
-func TestAStoreThatIsDownIsAskedSeldom(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
+func TestAStoreThatIsDownIsCalledRarely(t *testing.T) {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.store.SetFaults("", storetest.Faults{Busy: true})
+		w.store.SetFaults("", storetest.Faults{Refuse: true})
 		before := w.store.Calls()
 		time.Sleep(10 * time.Second)
 		calls := w.store.Calls() - before
 		is.True(calls < 3*10*6) // a few a second for each instance; without backoff there were 842
 		w.store.SetFaults("", storetest.Faults{})
 		time.Sleep(1500 * time.Millisecond)
-		for name := range w.nodes {
+		for name := range w.instances {
 			is.True(w.ready(name))
 		}
 		w.configure(2, "k1")
@@ -370,9 +370,9 @@
 
 // The store is back and an endpoint's entry is deleted; then a call that was sent before the
 // recovery fails. The endpoint must be out of use within the bound regardless.
-func TestALateFailureDoesNotKeepAServerInUse(t *testing.T) {
-	play(t, 1, func(is *is.I, w *world) {
-		s := newState(w.nodes["n0"].node)
+func TestALateFailureDoesNotKeepAnEndpointInUse(t *testing.T) {
+	runCluster(t, 1, func(is *is.I, w *testCluster) {
+		s := newState(w.instances["n0"].instance)
 		now := time.Now()
 		at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 		s.registry.Put(registry.Endpoint{ID: "a"}, at(0))
@@ -392,16 +392,16 @@
 
 // After an outage the watch is silent and is then cut. The length of the outage must not delay the
 // new listing, as the retry delay of the outage would.
-func TestACutWatchAfterAnOutageIsMadeGoodAtOnce(t *testing.T) {
-	play(t, 1, func(is *is.I, w *world) {
-		w.putServer(1, true)
-		w.putServer(2, true)
-		w.store.SetFaults("n0", storetest.Faults{Busy: true})
+func TestACutWatchAfterAnOutageIsReplacedAtOnce(t *testing.T) {
+	runCluster(t, 1, func(is *is.I, w *testCluster) {
+		w.putEndpoint(1, true)
+		w.putEndpoint(2, true)
+		w.store.SetFaults("n0", storetest.Faults{Refuse: true})
 		time.Sleep(8 * time.Second)
 		w.store.SetFaults("n0", storetest.Faults{})
 		time.Sleep(900 * time.Millisecond)
-		w.store.SetFaults("n0", storetest.Faults{Silent: true})
-		w.putServer(0, true)
+		w.store.SetFaults("n0", storetest.Faults{WatchSilent: true})
+		w.putEndpoint(0, true)
 		left := time.Now()
 		for i := range 80 {
 			time.Sleep(50 * time.Millisecond)
@@ -410,7 +410,7 @@
 			}
 			w.ask("n0", "/once/a", "k1", fmt.Sprint("r", i))
 		}
-		late := w.lastAt(serverID(0)).Sub(left)
+		late := w.lastRequestAt(endpointID(0)).Sub(left)
 		is.True(late > 500*time.Millisecond) // the watch delivered nothing
 		is.True(late < 1900*time.Millisecond)
 	})
@@ -418,15 +418,15 @@
 
 // The watches of one instance go silent, which the regular read of the configuration does not show
 // for changes of endpoints. The instance notices because the others report a newer change.
-func TestASilentWatchOfServersIsNoticed(t *testing.T) {
-	play(t, 3, func(is *is.I, w *world) {
-		w.store.SetFaults("n0", storetest.Faults{Silent: true})
+func TestASilentWatchOfEndpointsIsNoticed(t *testing.T) {
+	runCluster(t, 3, func(is *is.I, w *testCluster) {
+		w.store.SetFaults("n0", storetest.Faults{WatchSilent: true})
 		time.Sleep(300 * time.Millisecond)
 		used := func() bool {
-			return slices.ContainsFunc(w.nodes["n0"].node.view.Load().Endpoints["svc"], func(s registry.Endpoint) bool { return s.ID == serverID(0) })
+			return slices.ContainsFunc(w.instances["n0"].instance.view.Load().Endpoints["svc"], func(s registry.Endpoint) bool { return s.ID == endpointID(0) })
 		}
 		is.True(used())
-		w.putServer(0, true)
+		w.putEndpoint(0, true)
 		time.Sleep(1500 * time.Millisecond)
 		is.True(!used())
 	})
