--- a/internal/notice/table.go
+++ b/internal/notice/table.go
@@ -18,7 +18,7 @@
 // Notice is what an endpoint announces in one answer. The zero value is no announcement.
 type Notice struct {
 	Leaving bool          // it is leaving and must get no new requests
-	RestFor time.Duration // time from the answer on in which it wants no requests from this instance; 0 if none
+	Backoff time.Duration // time from the answer on in which it wants no requests from this instance; 0 if none
 }
 
 // endpointState holds the latest notices of an endpoint.
@@ -52,7 +52,7 @@
 type Options struct {
 	// OnChange is called without locks held for each notice that changes the state of an
 	// endpoint. until is the end of the requested backoff.
-	Changed func(endpoint registry.Endpoint, n Notice, until time.Time)
+	OnChange func(endpoint registry.Endpoint, n Notice, until time.Time)
 	// TimeOfDay converts a time to the time of day, which is compared with the start times of
 	// endpoints. If it is nil, the time itself is used.
 	TimeOfDay func(now time.Time) time.Time
@@ -81,9 +81,9 @@
 	if n == (Notice{}) {
 		return
 	}
-	until := at.Add(n.RestFor)
-	if t.record(endpoint, n, until, at) && t.options.Changed != nil {
-		t.options.Changed(endpoint, n, until)
+	until := at.Add(n.Backoff)
+	if t.record(endpoint, n, until, at) && t.options.OnChange != nil {
+		t.options.OnChange(endpoint, n, until)
 	}
 }
 
@@ -102,7 +102,7 @@
 		changed = !s.leaves(endpoint.StartedAt)
 		s.leavingAt = wall
 	}
-	if n.RestFor > 0 {
+	if n.Backoff > 0 {
 		wasInBackoff := s.inBackoff(endpoint.StartedAt, at)
 		changed = changed || !wasInBackoff
 		s.backoffRequestedAt = wall
@@ -143,7 +143,7 @@
 // Unavailable returns the ids of those endpoints that may not be sent requests now, and the time when
 // the first of them accepts requests again, zero if there is none that will. It returns at once
 // while there are no notices.
-func (t *Table) Closed(endpoints []registry.Endpoint, now time.Time) (ids []string, availableAt time.Time) {
+func (t *Table) Unavailable(endpoints []registry.Endpoint, now time.Time) (ids []string, availableAt time.Time) {
 	states := *t.states.Load()
 	if len(states) == 0 {
 		return nil, time.Time{}
@@ -167,7 +167,7 @@
 
 // Available returns those endpoints that may be sent requests now. While there are no notices it
 // returns the slice itself.
-func (t *Table) Open(endpoints []registry.Endpoint, now time.Time) []registry.Endpoint {
+func (t *Table) Available(endpoints []registry.Endpoint, now time.Time) []registry.Endpoint {
 	if len(*t.states.Load()) == 0 {
 		return endpoints
 	}
@@ -182,7 +182,7 @@
 
 // Expire removes backoffs that have ended, and notices of endpoints that are not listed and gave none
 // for unlistedRetention. listed is called with the id that all incarnations of an endpoint share.
-func (t *Table) Forget(listed func(endpoint string) bool, now time.Time) {
+func (t *Table) Expire(listed func(endpoint string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := *t.states.Load()
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -173,13 +173,13 @@
 }
 
 // WeightedModel is a model with the number of measurements that it is based on.
-type Opinion struct {
+type WeightedModel struct {
 	Model  Model
 	Weight float64
 }
 
 // Mean returns the weighted mean of models, or the prior if the weights are zero.
-func Mean(models []Opinion) Model {
+func Mean(models []WeightedModel) Model {
 	var sum Model
 	total := 0.0
 	for _, o := range models {
@@ -195,8 +195,8 @@
 }
 
 // Merge returns the weighted mean of models with the sum of their weights.
-func Merge(models ...Opinion) Opinion {
-	merged := Opinion{Model: Mean(models)}
+func Merge(models ...WeightedModel) WeightedModel {
+	merged := WeightedModel{Model: Mean(models)}
 	for _, o := range models {
 		merged.Weight += o.Weight
 	}
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAnyPaceIsLearnedFromTwoHundredRequests(t *testing.T) {
+func TestAnyModelIsEstimatedFromTwoHundredRequests(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		scale := math.Exp((2*r.Float64() - 1) * math.Log(3)) // from 1/3 to 3
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestANewPaceReplacesTheOld(t *testing.T) {
+func TestANewModelReplacesTheOld(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 0))
 	var l Estimator
@@ -56,7 +56,7 @@
 	is.True(near(l.Model().FirstEventTime(1000), 64*time.Millisecond, 0.25))
 }
 
-func TestTheSquareOfTheLengthIsLearned(t *testing.T) {
+func TestTheQuadraticPartIsEstimated(t *testing.T) {
 	is := is.New(t)
 	truth := Model{Base: 30e6, Token: 9e3, Pair: 0.12}
 	var l Estimator
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestWhatIsLearnedIsNeverNegative(t *testing.T) {
+func TestCoefficientsAreNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Estimator
 		for range rapid.IntRange(0, 60).Draw(t, "n") {
@@ -83,8 +83,8 @@
 	})
 }
 
-func TestOpinionsCountByWhatTheyRestOn(t *testing.T) {
+func TestModelsCountByTheirWeights(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Mean(nil), Prior)
-	is.Equal(Mean([]Opinion{{Model{Base: 10, Token: 1}, 30}, {Model{Base: 50, Token: 5}, 10}}), Model{Base: 20, Token: 2})
+	is.Equal(Mean([]WeightedModel{{Model{Base: 10, Token: 1}, 30}, {Model{Base: 50, Token: 5}, 10}}), Model{Base: 20, Token: 2})
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -11,7 +11,7 @@
 
 // ToUnixNano returns the wire form of a time: nanoseconds since the Unix epoch,
 // or 0 for the zero time.
-func Nanos(t time.Time) int64 {
+func ToUnixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
@@ -21,7 +21,7 @@
 // FromUnixNano returns the time of a wire form. The result has no monotonic
 // clock reading, so that comparisons use the wall clock, which goes on while the
 // instance is suspended.
-func Time(n int64) time.Time {
+func FromUnixNano(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
 	}
@@ -30,12 +30,12 @@
 
 // ToFailure returns the wire form of an error.
 func ToFailure(e *fault.Error) *peerpb.Failure {
-	return &peerpb.Failure{Run: int32(e.Run), Kind: int32(e.Kind), Step: string(e.Step), Text: e.Error(), RetryAt: Nanos(e.RetryAt)}
+	return &peerpb.Failure{Run: int32(e.Run), Kind: int32(e.Kind), Step: string(e.Step), Text: e.Error(), RetryAt: ToUnixNano(e.RetryAt)}
 }
 
 // FromFailure returns the error of a wire form that was received from a peer.
 func FromFailure(f *peerpb.Failure, from string) *fault.Error {
-	return &fault.Error{Step: fault.Step(f.Step), Peer: from, Kind: fault.Kind(f.Kind), Run: fault.Run(f.Run), RetryAt: Time(f.RetryAt), Err: errors.New(f.Text)}
+	return &fault.Error{Step: fault.Step(f.Step), Peer: from, Kind: fault.Kind(f.Kind), Run: fault.Run(f.Run), RetryAt: FromUnixNano(f.RetryAt), Err: errors.New(f.Text)}
 }
 
 // ToResult returns the wire form of a result; nil stays nil.
@@ -71,7 +71,7 @@
 		Id: r.ID, Account: r.Account, Class: r.Class, Kind: string(r.Kind), Target: r.Target,
 		ContentType: r.ContentType, Body: r.Body, Digest: r.Digest, Session: r.Session,
 		MaxTokens: int32(r.MaxTokens), Priority: int32(r.Priority), Seed: r.Seed,
-		Deadline: Nanos(r.Deadline), Arrived: Nanos(r.Arrived), Repeatable: r.Repeatable, Fresh: r.Fresh,
+		Deadline: ToUnixNano(r.Deadline), Arrived: ToUnixNano(r.ArrivedAt), Repeatable: r.Repeatable, Fresh: r.GeneratedID,
 		Chat: r.Chat, Owner: p.Owner, Endpoint: r.Endpoint(), Tokens: p.Tokens, Result: ToResult(p.Result),
 	}
 }
@@ -90,7 +90,7 @@
 		ID: m.Id, Account: m.Account, Class: m.Class, Kind: record.Kind(m.Kind), Target: m.Target,
 		ContentType: m.ContentType, Body: m.Body, Digest: m.Digest, Session: m.Session,
 		MaxTokens: int(m.MaxTokens), Priority: int(m.Priority), Seed: m.Seed,
-		Deadline: Time(m.Deadline), Arrived: Time(m.Arrived), Repeatable: m.Repeatable, Fresh: m.Fresh,
+		Deadline: FromUnixNano(m.Deadline), ArrivedAt: FromUnixNano(m.Arrived), Repeatable: m.Repeatable, GeneratedID: m.Fresh,
 		Chat: m.Chat,
 	}, m.Owner)
 	r.SetEndpoint(m.Endpoint)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -47,7 +47,7 @@
 )
 
 // Transport makes calls to other instances and serves theirs.
-type Instance struct {
+type Transport struct {
 	self    string // name of this instance, sent as the source of each call
 	net     netx.Network
 	tls     *tls.Config // nil for plain text
@@ -74,16 +74,16 @@
 
 // New returns a transport for the instance named self. Without tlsConfig,
 // connections are not encrypted. The clock may be nil.
-func New(n netx.Network, self string, tlsConfig *tls.Config, c *clock.Clock) *Instance {
-	return &Instance{self: self, clock: c, net: n, tls: tlsConfig, sessions: make(map[netip.AddrPort]*session), traffic: traffic{flows: make(map[Flow]Volume)}}
+func New(n netx.Network, self string, tlsConfig *tls.Config, c *clock.Clock) *Transport {
+	return &Transport{self: self, clock: c, net: n, tls: tlsConfig, sessions: make(map[netip.AddrPort]*session), traffic: traffic{flows: make(map[Flow]Volume)}}
 }
 
 // SetHandler sets the handler of calls. It must be called before Serve.
-func (t *Instance) SetHandler(h Handler) { t.handler = h }
+func (t *Transport) SetHandler(h Handler) { t.handler = h }
 
 // Bytes returns the number of bytes sent to and received from peers, on dialled
 // and accepted sessions. It includes the frame headers of yamux but not TLS.
-func (t *Instance) Bytes() (sent, received int64) { return t.sent.Load(), t.received.Load() }
+func (t *Transport) Bytes() (sent, received int64) { return t.sent.Load(), t.received.Load() }
 
 func sessionConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
@@ -98,7 +98,7 @@
 
 // Serve handles calls on a listener until ctx ends or the listener fails, and
 // waits for the handlers to return.
-func (t *Instance) Serve(ctx context.Context, l net.Listener) error {
+func (t *Transport) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	var wait sync.WaitGroup
@@ -117,7 +117,7 @@
 
 // serveConn handles the calls on an accepted connection until it is closed or
 // ctx ends.
-func (t *Instance) serveConn(ctx context.Context, c net.Conn) {
+func (t *Transport) serveConn(ctx context.Context, c net.Conn) {
 	if t.tls != nil {
 		c = tls.Server(c, t.tls)
 	}
@@ -142,7 +142,7 @@
 }
 
 // serveStream handles the one call of a stream.
-func (t *Instance) serveStream(ctx context.Context, stream *yamux.Stream) {
+func (t *Transport) serveStream(ctx context.Context, stream *yamux.Stream) {
 	defer stream.Close()
 	var call peerpb.Call
 	if err := readMessage(bufio.NewReader(stream), &call); err != nil {
@@ -169,7 +169,7 @@
 // after the deadline of ctx is discarded. The deadline is checked on the clock
 // of t, which goes on while the instance is suspended: the timer of ctx does not,
 // and a response from before a suspension is out of date.
-func (t *Instance) Call(ctx context.Context, addr netip.AddrPort, call *peerpb.Call) (*peerpb.Answer, error) {
+func (t *Transport) Call(ctx context.Context, addr netip.AddrPort, call *peerpb.Call) (*peerpb.Answer, error) {
 	var got *peerpb.Answer
 	deadline := t.callDeadline(ctx)
 	err := t.Follow(ctx, addr, call, func(a *peerpb.Answer) (bool, error) {
@@ -189,7 +189,7 @@
 
 // callDeadline returns the deadline of ctx on the clock of t, or zero if it has
 // none.
-func (t *Instance) callDeadline(ctx context.Context) time.Time {
+func (t *Transport) callDeadline(ctx context.Context) time.Time {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return time.Time{}
@@ -199,7 +199,7 @@
 
 // Follow makes a call and calls each with every response, until each returns
 // false or an error, the call fails or ctx ends.
-func (t *Instance) Follow(ctx context.Context, addr netip.AddrPort, call *peerpb.Call, each func(*peerpb.Answer) (bool, error)) error {
+func (t *Transport) Follow(ctx context.Context, addr netip.AddrPort, call *peerpb.Call, each func(*peerpb.Answer) (bool, error)) error {
 	stream, s, err := t.openStream(ctx, addr)
 	if err != nil {
 		return err
@@ -236,13 +236,13 @@
 }
 
 // callError returns the error of a call that failed after it may have been sent.
-func (t *Instance) callError(addr netip.AddrPort, what string, err error) error {
+func (t *Transport) callError(addr netip.AddrPort, what string, err error) error {
 	return fault.New(fault.StepPeer, addr.String(), fault.KindBroken, fault.MayHaveRun, "%s: %w", what, err)
 }
 
 // dropIfUnresponsive closes a session on which calls have had no response for
 // more than unresponsiveAfter.
-func (t *Instance) dropIfUnresponsive(addr netip.AddrPort, s *session) {
+func (t *Transport) dropIfUnresponsive(addr netip.AddrPort, s *session) {
 	since := s.unansweredSince.Load()
 	if since != 0 && t.clock.Now().UnixNano()-since > int64(unresponsiveAfter) {
 		t.dropSession(addr, s)
@@ -251,7 +251,7 @@
 
 // openStream opens a stream to a peer. It dials a new session if there is none
 // or the existing one turns out to be closed.
-func (t *Instance) openStream(ctx context.Context, addr netip.AddrPort) (*yamux.Stream, *session, error) {
+func (t *Transport) openStream(ctx context.Context, addr netip.AddrPort) (*yamux.Stream, *session, error) {
 	for range 2 { // the first session may be a closed one
 		s, err := t.session(ctx, addr)
 		if err != nil {
@@ -268,7 +268,7 @@
 }
 
 // session returns the session to a peer, once it is connected.
-func (t *Instance) session(ctx context.Context, addr netip.AddrPort) (*session, error) {
+func (t *Transport) session(ctx context.Context, addr netip.AddrPort) (*session, error) {
 	t.mu.Lock()
 	s, ok := t.sessions[addr]
 	if ok && s.mux != nil && s.mux.IsClosed() {
@@ -290,7 +290,7 @@
 
 // dial connects s. It does not use the context of a call, since other calls
 // may wait for the same session.
-func (t *Instance) dial(addr netip.AddrPort, s *session) {
+func (t *Transport) dial(addr netip.AddrPort, s *session) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	c, err := t.net.Dial(ctx, addr)
@@ -312,7 +312,7 @@
 }
 
 // dropSession closes a session, so that the next call dials a new one.
-func (t *Instance) dropSession(addr netip.AddrPort, s *session) {
+func (t *Transport) dropSession(addr netip.AddrPort, s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sessions[addr] == s {
@@ -323,7 +323,7 @@
 
 // CloseIdle closes sessions on which no call was made for
 // sessionIdleTimeout.
-func (t *Instance) Tidy(now time.Time) {
+func (t *Transport) CloseIdle(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for addr, s := range t.sessions {
@@ -335,7 +335,7 @@
 }
 
 // CloseSession closes the session that was dialled to addr, if there is one.
-func (t *Instance) Forget(addr netip.AddrPort) {
+func (t *Transport) CloseSession(addr netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.sessions[addr]; ok && s.mux != nil {
@@ -345,7 +345,7 @@
 }
 
 // Close closes all sessions that this instance dialled.
-func (t *Instance) Close() {
+func (t *Transport) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for addr, s := range t.sessions {
@@ -357,12 +357,12 @@
 }
 
 // countBytes returns a connection that adds its traffic to the byte counters.
-func (t *Instance) countBytes(c net.Conn) net.Conn { return &countedConn{c, t} }
+func (t *Transport) countBytes(c net.Conn) net.Conn { return &countedConn{c, t} }
 
 // countedConn is a connection whose bytes are counted in transport.
 type countedConn struct {
 	net.Conn
-	transport *Instance
+	transport *Transport
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -53,7 +53,7 @@
 // A connection can stop delivering data without a reset, so that all calls on
 // its session time out. After a second without a response the session is closed,
 // and a new one works.
-func TestASilentSessionIsGivenUp(t *testing.T) {
+func TestAnUnresponsiveSessionIsReplaced(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		mem := netx.NewMem(func(string, string) time.Duration { return time.Millisecond })
--- a/internal/peer/suspend_test.go
+++ b/internal/peer/suspend_test.go
@@ -21,19 +21,19 @@
 // responds.
 type suspendingHandler struct {
 	doneHandler
-	callerClock *clocktest.Machine
+	callerClock *clocktest.TimeSource
 	duration    time.Duration
 }
 
 func (s *suspendingHandler) Handle(ctx context.Context, call *peerpb.Call, answer func(*peerpb.Answer) error) error {
-	s.callerClock.Skip(s.duration)
+	s.callerClock.SkipSuspended(s.duration)
 	return s.doneHandler.Handle(ctx, call, answer)
 }
 
 // The timer of a call's context stops while the instance is suspended. So a
 // response from before a suspension could be accepted after it, such as a permit
 // that has expired meanwhile.
-func TestAnAnswerFromBeforeASuspensionIsNone(t *testing.T) {
+func TestAResponseFromBeforeASuspensionIsDiscarded(t *testing.T) {
 	// yamux keeps timers in a global sync.Pool. A timer of an earlier synctest bubble
 	// must not be used in this one; two garbage collections empty the pool.
 	runtime.GC()
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -13,8 +13,8 @@
 
 // Flow is a class of calls that are counted together.
 type Flow struct {
-	Kind    string // type of the call, such as "Share"
-	Crosses bool   // whether the called instance is in another hall
+	Kind      string // type of the call, such as "Share"
+	CrossHall bool   // whether the called instance is in another hall
 }
 
 // Volume is the number and size of calls since the instance started.
@@ -33,7 +33,7 @@
 }
 
 func (t *traffic) add(to netip.AddrPort, call *peerpb.Call, v Volume) {
-	f := Flow{Kind: kindOf(call), Crosses: t.otherHall != nil && t.otherHall(to)}
+	f := Flow{Kind: kindOf(call), CrossHall: t.otherHall != nil && t.otherHall(to)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := t.flows[f]
@@ -46,7 +46,7 @@
 // Traffic returns the volume of the calls that this instance made, by flow. It
 // counts the bytes of messages, without the overhead of the session, which is
 // two frames of 12 bytes for most calls.
-func (t *Instance) Traffic() map[Flow]Volume {
+func (t *Transport) Traffic() map[Flow]Volume {
 	t.traffic.mu.Lock()
 	defer t.traffic.mu.Unlock()
 	return maps.Clone(t.traffic.flows)
@@ -54,7 +54,9 @@
 
 // SetCrossHallFunc sets the function that reports whether an address is in
 // another hall. It must be called before Serve.
-func (t *Instance) SetCrosses(otherHall func(netip.AddrPort) bool) { t.traffic.otherHall = otherHall }
+func (t *Transport) SetCrossHallFunc(otherHall func(netip.AddrPort) bool) {
+	t.traffic.otherHall = otherHall
+}
 
 // kindOf returns the type of a call: the name of its body's message type.
 func kindOf(call *peerpb.Call) string {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -28,27 +28,27 @@
 }
 
 // Progress reports the progress of a request that was placed.
-type Note struct {
-	Ticket uint64
-	Read   bool // the endpoint has processed the prompt
-	Done   bool
-	Result balance.Result // set if Done is
+type Progress struct {
+	Ticket     uint64
+	PromptRead bool // the endpoint has processed the prompt
+	Done       bool
+	Result     balance.Result // set if Done is
 }
 
 // Requester is the instance that a request is placed for.
-type Asker struct {
+type Requester struct {
 	Instance    string
 	Incarnation int64 // increases with each restart of the instance
 }
 
 type openRequest struct {
 	ticket    *balance.Ticket
-	requester Asker
+	requester Requester
 	deadline  time.Time // when the request has ended at the latest
 }
 
 // Scheduler places requests on the endpoints of one hub.
-type Desk struct {
+type Scheduler struct {
 	tracker *balance.Tracker
 
 	mu           sync.Mutex
@@ -59,8 +59,8 @@
 
 // New returns a scheduler without open requests. Its tickets differ from those of a scheduler that
 // was started earlier.
-func New(start time.Time) *Desk {
-	return &Desk{
+func New(start time.Time) *Scheduler {
+	return &Scheduler{
 		tracker: balance.NewTracker(), lastTicket: uint64(start.UnixNano()),
 		open: make(map[uint64]openRequest), incarnations: make(map[string]int64),
 	}
@@ -68,7 +68,7 @@
 
 // Offer places a request of an instance on the best of the endpoints. The request counts there
 // until it is done, or until a deadline.
-func (d *Desk) Offer(requester Asker, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (Offer, bool) {
+func (d *Scheduler) Offer(requester Requester, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (Offer, bool) {
 	d.observeIncarnation(requester, now)
 	ticket, ok := d.tracker.Pick(endpoints, r, now)
 	if !ok {
@@ -82,7 +82,7 @@
 }
 
 // observeIncarnation ends the requests of an earlier incarnation of an instance.
-func (d *Desk) observeIncarnation(requester Asker, now time.Time) {
+func (d *Scheduler) observeIncarnation(requester Requester, now time.Time) {
 	d.mu.Lock()
 	restarted := requester.Incarnation > d.incarnations[requester.Instance]
 	d.incarnations[requester.Instance] = max(requester.Incarnation, d.incarnations[requester.Instance])
@@ -95,7 +95,7 @@
 }
 
 // endWhere ends the requests for which over is true. Their results do not count for the endpoints.
-func (d *Desk) endWhere(over func(openRequest) bool, now time.Time) {
+func (d *Scheduler) endWhere(over func(openRequest) bool, now time.Time) {
 	var tickets []*balance.Ticket
 	d.mu.Lock()
 	for id, h := range d.open {
@@ -111,7 +111,7 @@
 }
 
 // Update applies a progress report. Reports on requests that have ended are ignored.
-func (d *Desk) Note(note Note, now time.Time) {
+func (d *Scheduler) Update(note Progress, now time.Time) {
 	d.mu.Lock()
 	h, ok := d.open[note.Ticket]
 	if ok && note.Done {
@@ -121,8 +121,8 @@
 	if !ok {
 		return
 	}
-	if note.Read {
-		h.ticket.Read(now)
+	if note.PromptRead {
+		h.ticket.PromptRead(now)
 	}
 	if note.Done {
 		h.ticket.Done(note.Result, now)
@@ -130,13 +130,13 @@
 }
 
 // AdoptEstimates makes the scheduler use its instance's estimates of the endpoints.
-func (d *Desk) Adopt(estimates balance.Estimates) { d.tracker.Adopt(estimates) }
+func (d *Scheduler) AdoptEstimates(estimates balance.Estimates) { d.tracker.AdoptEstimates(estimates) }
 
 // Estimates returns the estimates from all requests that the scheduler placed.
-func (d *Desk) Estimates() balance.Estimates { return d.tracker.Estimates() }
+func (d *Scheduler) Estimates() balance.Estimates { return d.tracker.Estimates() }
 
 // Open returns the number of open requests.
-func (d *Desk) Open() int {
+func (d *Scheduler) Open() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.open)
@@ -144,7 +144,7 @@
 
 // Expire ends requests that must be over, since progress reports may be lost and instances may
 // crash. known reports whether an instance is a member, wanted whether an endpoint still exists.
-func (d *Desk) Expire(known, wanted func(name string) bool, now time.Time) {
+func (d *Scheduler) Expire(known, wanted func(name string) bool, now time.Time) {
 	d.endWhere(func(h openRequest) bool { return now.After(h.deadline) || !known(h.requester.Instance) }, now)
 	d.tracker.Forget(wanted)
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -26,12 +26,12 @@
 }
 
 // Requests of many instances that know nothing of each other are spread evenly over the endpoints.
-func TestADeskKnowsAllThatItPlaced(t *testing.T) {
+func TestASchedulerKnowsAllThatItPlaced(t *testing.T) {
 	is := is.New(t)
 	d := New(start)
 	got := make(map[string]int)
 	for i := range 24 {
-		o, ok := d.Offer(Asker{fmt.Sprint("n", i), 1}, endpoints(6), prompt(fmt.Sprint(i)), start.Add(time.Minute), start)
+		o, ok := d.Offer(Requester{fmt.Sprint("n", i), 1}, endpoints(6), prompt(fmt.Sprint(i)), start.Add(time.Minute), start)
 		is.True(ok)
 		got[o.Endpoint]++
 	}
@@ -41,20 +41,20 @@
 	}
 }
 
-func TestWhatIsOverCountsNoMore(t *testing.T) {
+func TestEndedRequestsNoLongerCount(t *testing.T) {
 	is := is.New(t)
 	d := New(start)
 	all := func(string) bool { return true }
 	offer := func(instance string, incarnation int64) Offer {
-		o, ok := d.Offer(Asker{instance, incarnation}, endpoints(1), prompt("x"), start.Add(time.Minute), start)
+		o, ok := d.Offer(Requester{instance, incarnation}, endpoints(1), prompt("x"), start.Add(time.Minute), start)
 		is.True(ok)
 		return o
 	}
 	a := offer("a", 1)
-	d.Note(Note{Ticket: a.Ticket, Read: true}, start)
+	d.Update(Progress{Ticket: a.Ticket, PromptRead: true}, start)
 	is.Equal(d.Open(), 1)
-	d.Note(Note{Ticket: a.Ticket, Done: true}, start)
-	d.Note(Note{Ticket: a.Ticket, Done: true}, start) // reported twice
+	d.Update(Progress{Ticket: a.Ticket, Done: true}, start)
+	d.Update(Progress{Ticket: a.Ticket, Done: true}, start) // reported twice
 	is.Equal(d.Open(), 0)
 	offer("a", 1)
 	offer("a", 2) // restarted: the earlier request ended with the process
@@ -66,7 +66,7 @@
 	is.Equal(d.Open(), 0)
 }
 
-func TestEachServerHasOneOwner(t *testing.T) {
+func TestEachEndpointHasOneOwner(t *testing.T) {
 	is := is.New(t)
 	hubs := []string{"h1", "h2", "h3", "h4"}
 	owners := make(map[string]int)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -28,18 +28,18 @@
 
 // Route maps requests to services.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // of the path; begins and ends with a slash
-	Kind        Kind
-	Timeout     time.Duration // a request's deadline is its arrival and this
-	Target      time.Duration // target latency of the answer, or of the first event of a stream
-	MaxPause    time.Duration // target for the longest time between two events of a stream
-	Priority    int           // 0 is the most urgent
-	Split       []Share       // how requests are split among services; never empty
-	MaxAttempts int           // number of endpoints that one request may be sent to, at least 1
-	Public      bool          // requests need no key
-	Resumable   bool          // another endpoint may continue a stream that broke off
+	Name           string
+	Host           string
+	Prefix         string // of the path; begins and ends with a slash
+	Kind           Kind
+	Timeout        time.Duration // a request's deadline is its arrival and this
+	TargetLatency  time.Duration // target latency of the answer, or of the first event of a stream
+	TargetEventGap time.Duration // target for the longest time between two events of a stream
+	Priority       int           // 0 is the most urgent
+	Split          []Share       // how requests are split among services; never empty
+	MaxAttempts    int           // number of endpoints that one request may be sent to, at least 1
+	Public         bool          // requests need no key
+	Resumable      bool          // another endpoint may continue a stream that broke off
 }
 
 // Idempotent reports whether a request of the route may run more than once.
@@ -62,11 +62,11 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots        int  // requests that an endpoint processes at once; 0 if the endpoints report it
-	CacheTokens  int  // size of an endpoint's KV cache in tokens
-	TokensAnItem int  // number of tokens in one event of a stream
-	Moves        bool // endpoints can move KV cache to each other
-	Backups      bool // endpoints can keep backups of KV cache
+	Slots          int  // requests that an endpoint processes at once; 0 if the endpoints report it
+	CacheTokens    int  // size of an endpoint's KV cache in tokens
+	TokensPerEvent int  // number of tokens in one event of a stream
+	Moves          bool // endpoints can move KV cache to each other
+	Backups        bool // endpoints can keep backups of KV cache
 }
 
 // Scaling says how the number of a service's endpoints is scaled. The bounds apply in each hall.
@@ -79,13 +79,13 @@
 
 // Account is a client account: a customer with keys, a limit and a priority.
 type Account struct {
-	Name        string
-	Keys        []string
-	Priority    int     // 0 is the most urgent; it takes precedence over the route's
-	Rate        float64 // units a second over all instances; 0 is no limit
-	Burst       float64 // units above the rate
-	CountTokens bool    // a unit is a token, else a request
-	PlainTokens float64 // units of a request that does not name its tokens, if CountTokens is set
+	Name          string
+	Keys          []string
+	Priority      int     // 0 is the most urgent; it takes precedence over the route's
+	Rate          float64 // units a second over all instances; 0 is no limit
+	Burst         float64 // units above the rate
+	CountTokens   bool    // a unit is a token, else a request
+	DefaultTokens float64 // units of a request that does not name its tokens, if CountTokens is set
 }
 
 // Limits are limits on what a client may send. Zero stands for the default.
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -36,12 +36,12 @@
 	// EndDetectionTimeout is how long after an interrupted run the end of its endpoint is waited
 	// for. By then a restart has been detected, and so has an entry that expired after three
 	// missed heartbeats of 1.2 s.
-	Undecided = 6 * time.Second
+	EndDetectionTimeout = 6 * time.Second
 	// suspectRetention is how long a request is remembered after its quarantine, so that the next
 	// end puts it into a longer quarantine at once.
 	suspectRetention = 10 * time.Minute
 	// MaxLength bounds the length of a quarantine that another instance reports.
-	Longest = 24 * time.Hour
+	MaxLength = 24 * time.Hour
 	// maxDoublings bounds how often the length of a quarantine doubles.
 	maxDoublings = 4
 )
@@ -52,7 +52,7 @@
 	Length time.Duration
 	// MaxSuspects bounds the number of suspects, which take some 300 bytes each. One client
 	// account, or all public routes together, may have maxAccountShare of them.
-	Most int
+	MaxSuspects int
 }
 
 // maxAccountShare is the share of all suspects that one client account may have, so that it can
@@ -70,12 +70,12 @@
 
 // Suspect is the state of a request that ran on endpoints when they ended.
 type Suspect struct {
-	Fingerprint Fingerprint
-	Account     string
-	Ends        map[string]time.Time // when endpoints ended while running it, by the id of the incarnation
-	ClearedAt   time.Time            // when it last completed or an operator lifted the quarantine; ends up to then do not count
-	Until       time.Time            // end of its last quarantine; zero if it was not quarantined since it was cleared
-	Strikes     int                  // number of quarantines since it was cleared
+	Fingerprint      Fingerprint
+	Account          string
+	Ends             map[string]time.Time // when endpoints ended while running it, by the id of the incarnation
+	ClearedAt        time.Time            // when it last completed or an operator lifted the quarantine; ends up to then do not count
+	QuarantinedUntil time.Time            // end of its last quarantine; zero if it was not quarantined since it was cleared
+	Strikes          int                  // number of quarantines since it was cleared
 }
 
 // Change is a change of a suspect.
@@ -100,9 +100,9 @@
 
 // The verdicts.
 const (
-	Free       Verdict = iota
-	Serialized         // on one endpoint at a time
-	Refused            // not until the quarantine ends
+	Unrestricted Verdict = iota
+	Serialized           // on one endpoint at a time
+	Refused              // not until the quarantine ends
 )
 
 // Table holds the suspects. It is safe for concurrent use.
@@ -135,7 +135,7 @@
 
 // MaybeSuspect reports whether there is a suspect with this fingerprint length. It takes no lock
 // while there are no suspects.
-func (t *Table) Knows(length int) bool {
+func (t *Table) MaybeSuspect(length int) bool {
 	if t.suspectCount.Load() == 0 {
 		return false
 	}
@@ -151,13 +151,13 @@
 	s := t.suspects[f]
 	switch {
 	case s == nil:
-		return Free, time.Time{}
-	case now.Before(s.Until):
-		return Refused, s.Until
-	case !s.Until.IsZero(), s.recentEnds(now) >= endsToSerialize:
+		return Unrestricted, time.Time{}
+	case now.Before(s.QuarantinedUntil):
+		return Refused, s.QuarantinedUntil
+	case !s.QuarantinedUntil.IsZero(), s.recentEnds(now) >= endsToSerialize:
 		return Serialized, time.Time{}
 	}
-	return Free, time.Time{}
+	return Unrestricted, time.Time{}
 }
 
 // Ends returns the number of endpoints that ended while running a request, since it was last cleared.
@@ -172,7 +172,7 @@
 
 // RunInterrupted records an interrupted run. It counts as an end if its endpoint is known to have
 // ended, or is found to have within EndDetectionTimeout.
-func (t *Table) Broke(r Run, now time.Time) []Change {
+func (t *Table) RunInterrupted(r Run, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ended := t.endedEndpoints[r.Endpoint]; ended {
@@ -226,28 +226,28 @@
 
 // evaluate quarantines a suspect if it has enough ends, or any end after an earlier quarantine.
 func (t *Table) evaluate(s *Suspect, now time.Time) []Change {
-	if now.Before(s.Until) {
+	if now.Before(s.QuarantinedUntil) {
 		return nil
 	}
 	needed := endsToQuarantine
-	if !s.Until.IsZero() {
+	if !s.QuarantinedUntil.IsZero() {
 		needed = 1
 	}
-	if s.recentEndsAfter(s.Until, now) < needed {
+	if s.recentEndsAfter(s.QuarantinedUntil, now) < needed {
 		return nil
 	}
-	s.Until = now.Add(t.options.Length << min(s.Strikes, maxDoublings))
+	s.QuarantinedUntil = now.Add(t.options.Length << min(s.Strikes, maxDoublings))
 	s.Strikes++
 	return []Change{{s.clone(), Quarantined, ""}}
 }
 
 // ClearSuspect clears a request that completed on an endpoint, or whose quarantine an operator
 // lifts, in which case endpoint is empty.
-func (t *Table) CameThrough(f Fingerprint, endpoint string, now time.Time) []Change {
+func (t *Table) ClearSuspect(f Fingerprint, endpoint string, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
-	if s == nil || len(s.Ends) == 0 && s.Until.IsZero() {
+	if s == nil || len(s.Ends) == 0 && s.QuarantinedUntil.IsZero() {
 		return nil
 	}
 	s.clear(now)
@@ -268,7 +268,7 @@
 func (t *Table) apply(reported *Suspect, now time.Time) (changes []Change) {
 	s := t.findOrAdd(reported.Fingerprint, reported.Account, now)
 	if reported.ClearedAt.After(s.ClearedAt) {
-		released := len(s.Ends) > 0 || !s.Until.IsZero()
+		released := len(s.Ends) > 0 || !s.QuarantinedUntil.IsZero()
 		s.clear(reported.ClearedAt)
 		if released {
 			changes = append(changes, Change{s.clone(), Released, ""})
@@ -279,8 +279,8 @@
 			changes = append(changes, Change{s.clone(), EndSeen, endpoint})
 		}
 	}
-	if reported.Until.After(s.Until) && !reported.ClearedAt.Before(s.ClearedAt) {
-		s.Until, s.Strikes = reported.Until, max(s.Strikes, reported.Strikes)
+	if reported.QuarantinedUntil.After(s.QuarantinedUntil) && !reported.ClearedAt.Before(s.ClearedAt) {
+		s.QuarantinedUntil, s.Strikes = reported.QuarantinedUntil, max(s.Strikes, reported.Strikes)
 		changes = append(changes, Change{s.clone(), Quarantined, ""})
 	}
 	changes = append(changes, t.evaluate(s, now)...)
@@ -318,7 +318,7 @@
 	defer t.mu.Unlock()
 	var out []Suspect
 	for _, s := range t.suspects {
-		if all || s.Concerns(now) {
+		if all || s.RelevantToAll(now) {
 			out = append(out, s.clone())
 		}
 	}
@@ -346,8 +346,8 @@
 func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.interrupted = slices.DeleteFunc(t.interrupted, func(b interruptedRun) bool { return now.Sub(b.at) > Undecided })
-	maps.DeleteFunc(t.endedEndpoints, func(_ string, at time.Time) bool { return now.Sub(at) > Undecided })
+	t.interrupted = slices.DeleteFunc(t.interrupted, func(b interruptedRun) bool { return now.Sub(b.at) > EndDetectionTimeout })
+	maps.DeleteFunc(t.endedEndpoints, func(_ string, at time.Time) bool { return now.Sub(at) > EndDetectionTimeout })
 	for f, s := range t.suspects {
 		if s.expired(now) {
 			t.remove(f)
@@ -362,9 +362,9 @@
 	if s != nil {
 		return s
 	}
-	if t.byAccount[account] >= int(maxAccountShare*float64(t.options.Most)) {
+	if t.byAccount[account] >= int(maxAccountShare*float64(t.options.MaxSuspects)) {
 		t.evict(func(s *Suspect) bool { return s.Account == account }, now)
-	} else if len(t.suspects) >= t.options.Most {
+	} else if len(t.suspects) >= t.options.MaxSuspects {
 		t.evict(func(*Suspect) bool { return true }, now)
 	}
 	s = &Suspect{Fingerprint: f, Account: account, Ends: make(map[string]time.Time)}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,7 +15,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-var options = Options{Length: 30 * time.Second, Most: 100}
+var options = Options{Length: 30 * time.Second, MaxSuspects: 100}
 
 func fingerprint(i int) Fingerprint { return Of("POST", "h", fmt.Sprint("/", i), []byte("body")) }
 
@@ -26,7 +26,7 @@
 // ends lets endpoints end while running a request, one per second.
 func ends(t *Table, i int, from float64, endpoints ...string) {
 	for n, e := range endpoints {
-		t.Broke(run(i, e), at(from+float64(n)))
+		t.RunInterrupted(run(i, e), at(from+float64(n)))
 		t.EndpointEnded(e, at(from+float64(n)))
 	}
 }
@@ -52,64 +52,64 @@
 func TestARequestIsQuarantinedAfterThreeEnds(t *testing.T) {
 	is := is.New(t)
 	q := New(options)
-	is.True(!q.Knows(fingerprint(1).Length))
+	is.True(!q.MaybeSuspect(fingerprint(1).Length))
 	ends(q, 1, 0, "x")
-	is.Equal(verdict(q, 1, 0.5), Free)
+	is.Equal(verdict(q, 1, 0.5), Unrestricted)
 	ends(q, 1, 1, "y")
 	is.Equal(verdict(q, 1, 1.5), Serialized)
 	ends(q, 1, 2, "z")
 	is.Equal(verdict(q, 1, 2.5), Refused)
-	is.Equal(verdict(q, 2, 2.5), Free) // of the same length
-	is.True(q.Knows(fingerprint(1).Length))
+	is.Equal(verdict(q, 2, 2.5), Unrestricted) // of the same length
+	is.True(q.MaybeSuspect(fingerprint(1).Length))
 	_, until := q.Verdict(fingerprint(1), at(2.5))
 	is.Equal(until, at(32))
 }
 
-func TestWhatIsNoEnd(t *testing.T) {
+func TestInterruptedRunsThatAreNoEnds(t *testing.T) {
 	is := is.New(t)
 	q := New(options)
 	// Runs are interrupted while their endpoint goes on: reset connections, corrupt answers.
 	for n := range 10 {
-		q.Broke(run(1, fmt.Sprint("x", n)), at(float64(n)))
+		q.RunInterrupted(run(1, fmt.Sprint("x", n)), at(float64(n)))
 	}
-	is.Equal(verdict(q, 1, 10), Free)
+	is.Equal(verdict(q, 1, 10), Unrestricted)
 	// Endpoints end long after the runs.
 	for n := range 10 {
 		q.Expire(at(20))
 		q.EndpointEnded(fmt.Sprint("x", n), at(20))
 	}
-	is.Equal(verdict(q, 1, 20), Free)
+	is.Equal(verdict(q, 1, 20), Unrestricted)
 	// One endpoint interrupts many runs, and ends once.
 	for range 10 {
-		q.Broke(run(1, "y"), at(21))
+		q.RunInterrupted(run(1, "y"), at(21))
 	}
 	q.EndpointEnded("y", at(21))
 	q.EndpointEnded("y", at(21))
-	q.Broke(run(1, "y"), at(21)) // reported late
-	is.Equal(verdict(q, 1, 21), Free)
+	q.RunInterrupted(run(1, "y"), at(21)) // reported late
+	is.Equal(verdict(q, 1, 21), Unrestricted)
 }
 
-func TestAnEndpointThatStartsAgainHasEnded(t *testing.T) {
+func TestARestartedEndpointHasEnded(t *testing.T) {
 	is := is.New(t)
 	q := New(options)
 	for n := range 3 {
 		r := Run{Fingerprint: fingerprint(1), Endpoint: fmt.Sprint("x@", n), Name: "x"}
-		q.Broke(r, at(float64(n)))
+		q.RunInterrupted(r, at(float64(n)))
 		q.EndpointRestarted("x", fmt.Sprint("x@", n+1), at(float64(n)+0.5))
 	}
 	is.Equal(verdict(q, 1, 4), Refused) // each incarnation counts
-	q.Broke(Run{Fingerprint: fingerprint(2), Endpoint: "x@3", Name: "x"}, at(4))
+	q.RunInterrupted(Run{Fingerprint: fingerprint(2), Endpoint: "x@3", Name: "x"}, at(4))
 	q.EndpointRestarted("x", "x@3", at(4.5)) // the incarnation that ran it goes on
-	is.Equal(verdict(q, 2, 5), Free)
+	is.Equal(verdict(q, 2, 5), Unrestricted)
 }
 
-func TestWhatComesThroughIsNoSuspect(t *testing.T) {
+func TestACompletedRequestIsNoSuspect(t *testing.T) {
 	is := is.New(t)
 	q := New(options)
 	ends(q, 1, 0, "x", "y")
-	is.Equal(len(q.CameThrough(fingerprint(1), "e", at(2))), 1)
-	is.Equal(len(q.CameThrough(fingerprint(1), "e", at(2.1))), 0)
-	is.Equal(verdict(q, 1, 2.5), Free)
+	is.Equal(len(q.ClearSuspect(fingerprint(1), "e", at(2))), 1)
+	is.Equal(len(q.ClearSuspect(fingerprint(1), "e", at(2.1))), 0)
+	is.Equal(verdict(q, 1, 2.5), Unrestricted)
 	ends(q, 1, 3, "z", "w")
 	is.Equal(verdict(q, 1, 5), Serialized)
 	ends(q, 1, 5, "v")
@@ -121,9 +121,9 @@
 	q := New(options)
 	ends(q, 1, 0, "x", "y")
 	ends(q, 1, 70, "z")
-	is.Equal(verdict(q, 1, 71), Free)
+	is.Equal(verdict(q, 1, 71), Unrestricted)
 	q.Expire(at(200))
-	is.True(!q.Knows(fingerprint(1).Length))
+	is.True(!q.MaybeSuspect(fingerprint(1).Length))
 }
 
 func TestAQuarantineEnds(t *testing.T) {
@@ -136,10 +136,10 @@
 	is.Equal(verdict(q, 1, 34), Refused)
 	_, until := q.Verdict(fingerprint(1), at(34))
 	is.Equal(until, at(93)) // twice as long
-	q.CameThrough(fingerprint(1), "e", at(94))
-	is.Equal(verdict(q, 1, 94), Free)
+	q.ClearSuspect(fingerprint(1), "e", at(94))
+	is.Equal(verdict(q, 1, 94), Unrestricted)
 	q.Expire(at(200))
-	is.True(!q.Knows(fingerprint(1).Length))
+	is.True(!q.MaybeSuspect(fingerprint(1).Length))
 }
 
 func TestMemoryIsBounded(t *testing.T) {
@@ -147,23 +147,23 @@
 	q := New(options)
 	ends(q, 0, 0, "x", "y", "z")
 	for i := 1; i < 10_000; i++ { // one client account keeps sending new requests
-		q.Broke(run(i, fmt.Sprint("e", i)), at(3))
+		q.RunInterrupted(run(i, fmt.Sprint("e", i)), at(3))
 		q.EndpointEnded(fmt.Sprint("e", i), at(3))
 	}
 	is.Equal(verdict(q, 0, 4), Refused) // the quarantined one is not evicted
 	is.True(len(q.suspects) <= 25)
 	other := run(1, "other")
 	other.Account = "b"
-	q.Broke(other, at(3))
+	q.RunInterrupted(other, at(3))
 	q.EndpointEnded("other", at(3))
-	is.True(q.Knows(fingerprint(1).Length)) // other accounts have their share
-	for i := range 10_000 {                 // many client accounts together are bounded as well
+	is.True(q.MaybeSuspect(fingerprint(1).Length)) // other accounts have their share
+	for i := range 10_000 {                        // many client accounts together are bounded as well
 		r := run(i, fmt.Sprint("f", i))
 		r.Account = fmt.Sprint("c", i)
-		q.Broke(r, at(4))
+		q.RunInterrupted(r, at(4))
 		q.EndpointEnded(fmt.Sprint("f", i), at(4))
 	}
-	is.True(len(q.suspects) <= options.Most)
+	is.True(len(q.suspects) <= options.MaxSuspects)
 	is.Equal(verdict(q, 0, 5), Refused)
 	q.Expire(at(5 + suspectRetention.Seconds()*2))
 	is.Equal(len(q.suspects)+len(q.byLength)+len(q.byAccount)+len(q.endedEndpoints)+len(q.interrupted)+len(q.ownUpdates)+len(q.receivedUpdates), 0)
@@ -202,12 +202,12 @@
 			now += rnd.Float64() * 0.5
 			q := tables[rnd.IntN(instances)]
 			if rnd.IntN(6) == 0 {
-				if len(q.CameThrough(fingerprint(1), "e", at(now))) > 0 {
+				if len(q.ClearSuspect(fingerprint(1), "e", at(now))) > 0 {
 					clear(after)
 				}
 			} else {
 				endpoint := fmt.Sprint("e", step)
-				q.Broke(run(1, endpoint), at(now))
+				q.RunInterrupted(run(1, endpoint), at(now))
 				q.EndpointEnded(endpoint, at(now))
 				after[endpoint] = true
 			}
@@ -245,19 +245,19 @@
 	}
 }
 
-func BenchmarkKnows(b *testing.B) {
+func BenchmarkMaybeSuspect(b *testing.B) {
 	for _, suspects := range []int{0, 100} {
 		q := New(options)
 		for i := range suspects {
 			r := run(i, "x")
 			r.Account = fmt.Sprint(i)
-			q.Broke(r, at(0))
+			q.RunInterrupted(r, at(0))
 		}
 		q.EndpointEnded("x", at(0))
 		b.Run(fmt.Sprint(suspects), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Knows(12 << 10)
+				q.MaybeSuspect(12 << 10)
 			}
 		})
 	}
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -18,7 +18,7 @@
 // clear discards the ends up to the given time, and the quarantine.
 func (s *Suspect) clear(at time.Time) {
 	s.ClearedAt = at
-	s.Until, s.Strikes = time.Time{}, 0
+	s.QuarantinedUntil, s.Strikes = time.Time{}, 0
 	maps.DeleteFunc(s.Ends, func(_ string, end time.Time) bool { return !end.After(at) })
 }
 
@@ -37,16 +37,16 @@
 
 // RelevantToAll reports whether all instances have to know of the suspect: it is restricted, or
 // was until it was cleared.
-func (s *Suspect) Concerns(now time.Time) bool {
-	return !s.Until.IsZero() || !s.ClearedAt.IsZero() || s.recentEnds(now) >= endsToSerialize
+func (s *Suspect) RelevantToAll(now time.Time) bool {
+	return !s.QuarantinedUntil.IsZero() || !s.ClearedAt.IsZero() || s.recentEnds(now) >= endsToSerialize
 }
 
 // lastActivity returns the time of the latest end or clearing, or the end of the quarantine if that
 // is later.
 func (s *Suspect) lastActivity() time.Time {
 	at := s.ClearedAt
-	if s.Until.After(at) {
-		at = s.Until
+	if s.QuarantinedUntil.After(at) {
+		at = s.QuarantinedUntil
 	}
 	for _, end := range s.Ends {
 		if end.After(at) {
@@ -58,7 +58,7 @@
 
 // expired reports whether the suspect can be dropped.
 func (s *Suspect) expired(now time.Time) bool {
-	if s.Until.IsZero() {
+	if s.QuarantinedUntil.IsZero() {
 		return now.Sub(s.lastActivity()) > endWindow
 	}
 	return now.Sub(s.lastActivity()) > suspectRetention
@@ -74,7 +74,7 @@
 // then by the number of ends, then by lastActivity.
 func compareSuspicion(a, b *Suspect, now time.Time) int {
 	return cmp.Or(
-		cmp.Compare(boolRank(a.Until.After(now)), boolRank(b.Until.After(now))),
+		cmp.Compare(boolRank(a.QuarantinedUntil.After(now)), boolRank(b.QuarantinedUntil.After(now))),
 		cmp.Compare(len(a.Ends), len(b.Ends)),
 		a.lastActivity().Compare(b.lastActivity()),
 	)
--- a/internal/quarantine/wire/wire.go
+++ b/internal/quarantine/wire/wire.go
@@ -25,8 +25,8 @@
 		if !s.ClearedAt.IsZero() {
 			m.Cleared, m.ClearedAge = true, int64(now.Sub(s.ClearedAt))
 		}
-		if !s.Until.IsZero() {
-			m.Quarantined, m.QuarantineLeft = true, int64(s.Until.Sub(now))
+		if !s.QuarantinedUntil.IsZero() {
+			m.Quarantined, m.QuarantineLeft = true, int64(s.QuarantinedUntil.Sub(now))
 		}
 		out = append(out, m)
 	}
@@ -38,7 +38,7 @@
 func Decode(messages []*peerpb.Suspect, now time.Time) []quarantine.Suspect {
 	var out []quarantine.Suspect
 	for _, m := range messages[:min(len(messages), maxSuspects)] {
-		f, ok := Fingerprint(m.Sum, m.Length)
+		f, ok := DecodeFingerprint(m.Sum, m.Length)
 		if !ok {
 			continue
 		}
@@ -50,7 +50,7 @@
 			s.ClearedAt = timeAgo(m.ClearedAge, now)
 		}
 		if m.Quarantined {
-			s.Until = now.Add(min(time.Duration(m.QuarantineLeft), quarantine.Longest))
+			s.QuarantinedUntil = now.Add(min(time.Duration(m.QuarantineLeft), quarantine.MaxLength))
 		}
 		out = append(out, s)
 	}
@@ -61,7 +61,7 @@
 func timeAgo(age int64, now time.Time) time.Time { return now.Add(-max(0, time.Duration(age))) }
 
 // DecodeFingerprint returns the fingerprint in a message, and false if its hash has the wrong size.
-func Fingerprint(sum []byte, length int64) (f quarantine.Fingerprint, ok bool) {
+func DecodeFingerprint(sum []byte, length int64) (f quarantine.Fingerprint, ok bool) {
 	f.Length = int(length)
 	return f, copy(f.Sum[:], sum) == len(f.Sum) && len(sum) == len(f.Sum)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -20,8 +20,8 @@
 }
 
 // Tolerance is by how much the use within a window may exceed a limit.
-type Terms struct {
-	Over   float64       // as a share of the limit
+type Tolerance struct {
+	Ratio  float64       // as a share of the limit
 	Slack  float64       // in units, on top of that
 	Window time.Duration // over which use is measured
 }
@@ -36,8 +36,8 @@
 )
 
 // EnforcedLimit returns the limit to enforce for a configured one.
-func (t Terms) Stretch(l Limit) Limit {
-	factor := 1 + ratioPart*t.Over
+func (t Tolerance) EnforcedLimit(l Limit) Limit {
+	factor := 1 + ratioPart*t.Ratio
 	return Limit{
 		Rate:           factor*l.Rate + slackRatePart*t.Slack/max(t.Window, time.Second).Seconds(),
 		Burst:          factor*l.Burst + slackBurstPart*t.Slack,
@@ -47,11 +47,11 @@
 
 // Verdict is the decision whether a request is admitted.
 type Verdict struct {
-	OK      bool
-	Level   float64   // of the bucket in units, after an admitted request
-	Need    float64   // level that a refused request would have needed; 0 if the level was high enough
-	Known   float64   // share of the instances whose use is counted in the level; set for a refused request
-	RetryAt time.Time // when a refused request may be retried
+	OK            bool
+	Level         float64   // of the bucket in units, after an admitted request
+	RequiredLevel float64   // level that a refused request would have needed; 0 if the level was high enough
+	KnownShare    float64   // share of the instances whose use is counted in the level; set for a refused request
+	RetryAt       time.Time // when a refused request may be retried
 }
 
 const (
@@ -66,16 +66,16 @@
 )
 
 // WarmUp is the time that an instance needs after its start until its levels are reliable.
-const Season = 3 * time.Second
+const WarmUp = 3 * time.Second
 
 // Update is what an instance, or a hub for a group of instances, reports to the others.
 type Update struct {
-	Instance    string
-	Incarnation int64              // increases with each restart of the instance
-	Admitted    map[string]float64 // units admitted since its start, by client account
-	Levels      map[string]float64 // of its buckets, by client account
-	Seasoned    bool               // it has run for longer than WarmUp, so that Levels are reliable
-	Stands      int                // number of instances that the update covers; 0 counts as 1
+	Instance      string
+	Incarnation   int64              // increases with each restart of the instance
+	Admitted      map[string]float64 // units admitted since its start, by client account
+	Levels        map[string]float64 // of its buckets, by client account
+	WarmedUp      bool               // it has run for longer than WarmUp, so that Levels are reliable
+	InstanceCount int                // number of instances that the update covers; 0 counts as 1
 }
 
 type bucket struct {
@@ -185,13 +185,13 @@
 
 // AdmitProvisionally is Admit for a request that a hub confirms before it is sent, so that this
 // instance need not keep to its share of the limit. If no hub answers, WithinLocalShare decides.
-func (l *Limiter) AdmitForHub(name string, limit Limit, units float64, now time.Time) Verdict {
+func (l *Limiter) AdmitProvisionally(name string, limit Limit, units float64, now time.Time) Verdict {
 	return l.admit(name, limit, units, false, now)
 }
 
 // WithinLocalShare decides about a request that AdmitProvisionally admitted and that no hub
 // answers for: it is admitted if it is within this instance's share of the limit.
-func (l *Limiter) Alone(name string, limit Limit, units float64, now time.Time) Verdict {
+func (l *Limiter) WithinLocalShare(name string, limit Limit, units float64, now time.Time) Verdict {
 	a := l.account(name)
 	a.unpropagated -= units
 	defer func() { a.unpropagated += units }()
@@ -227,13 +227,13 @@
 // has refilled to that level.
 func (l *Limiter) refuseOverLimit(level, need float64, limit Limit, now time.Time) Verdict {
 	wait := time.Duration((need - level) / limit.Rate * float64(time.Second))
-	return Verdict{Level: level, Need: need, Known: l.knownShare(), RetryAt: now.Add(max(wait, minRetryDelay))}
+	return Verdict{Level: level, RequiredLevel: need, KnownShare: l.knownShare(), RetryAt: now.Add(max(wait, minRetryDelay))}
 }
 
 // refuseOverLocalShare refuses a request that is beyond this instance's share of a limit. It may
 // be retried when the others know what this instance admitted.
 func (l *Limiter) refuseOverLocalShare(level float64, now time.Time) Verdict {
-	return Verdict{Level: level, Known: l.knownShare(), RetryAt: now.Add(propagationDelay)}
+	return Verdict{Level: level, KnownShare: l.knownShare(), RetryAt: now.Add(propagationDelay)}
 }
 
 // scaled returns the limit with its rate multiplied by a share, for a group of instances that
@@ -260,7 +260,7 @@
 }
 
 // Refund gives back the units of an admitted request that did not run.
-func (l *Limiter) Return(name string, units float64) {
+func (l *Limiter) Refund(name string, units float64) {
 	a := l.account(name)
 	a.bucket.level += units
 	a.admitted -= units
@@ -279,7 +279,7 @@
 // second. Otherwise the bucket of an account without requests at this instance would be refilled in
 // one step, after the use of the others was subtracted: a full bucket that they have just emptied
 // would come out full again.
-func (l *Limiter) Fill(limits map[string]Limit, now time.Time) {
+func (l *Limiter) Refill(limits map[string]Limit, now time.Time) {
 	share := l.knownShare()
 	for name, a := range l.accounts {
 		if limit := limits[name]; limit.Rate > 0 {
@@ -294,7 +294,7 @@
 // Accounts without a limit are left out.
 func (l *Limiter) Levels(limits map[string]Limit, now time.Time) map[string]float64 {
 	// Updates are subtracted at once, so that what time adds has to be added here as well.
-	l.Fill(limits, now)
+	l.Refill(limits, now)
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
 		if limits[name].Rate > 0 {
@@ -308,13 +308,13 @@
 func (l *Limiter) Apply(update Update, now time.Time) {
 	n, known := l.instances[update.Instance]
 	if known && n.incarnation != update.Incarnation {
-		l.Forget(update.Instance) // gives back what was extrapolated while it was down
+		l.MarkDeparted(update.Instance) // gives back what was extrapolated while it was down
 	}
 	if !known || n.incarnation != update.Incarnation {
 		n = &instance{incarnation: update.Incarnation, accounts: make(map[string]*remoteUsage)}
 		l.instances[update.Instance] = n
 	}
-	n.instanceCount = max(1, update.Stands)
+	n.instanceCount = max(1, update.InstanceCount)
 	since := now.Sub(n.lastUpdate).Seconds()
 	counts := 1.0 // share of what it admitted meanwhile that still affects the levels
 	if n.departed {
@@ -337,7 +337,7 @@
 		l.account(name).bucket.level -= counts*delta - u.extrapolated
 		u.extrapolated = 0
 	}
-	if update.Seasoned {
+	if update.WarmedUp {
 		l.adoptLevels(update.Levels, now)
 	}
 	n.lastUpdate = now
@@ -348,7 +348,7 @@
 // come from instances that were paused as well: these first report totals from before the pause,
 // and later all that was admitted since, for which the time of the pause has already paid.
 func (l *Limiter) capDebts(now time.Time) {
-	if l.resumedAt.IsZero() || now.Sub(l.resumedAt) > Season {
+	if l.resumedAt.IsZero() || now.Sub(l.resumedAt) > WarmUp {
 		return
 	}
 	for name, a := range l.accounts {
@@ -362,7 +362,7 @@
 	if l.warmSince.IsZero() {
 		l.warmSince = now
 	}
-	if now.Sub(l.warmSince) > Season {
+	if now.Sub(l.warmSince) > WarmUp {
 		return
 	}
 	for name, level := range levels {
@@ -400,7 +400,7 @@
 // others may have used whatever was added meanwhile, and if all were paused, each of them would
 // use the whole of it. Of a debt at most one burst is kept: anything beyond is what the others
 // admitted for time that this bucket was never refilled for.
-func (l *Limiter) Resume(limits map[string]Limit, now time.Time) {
+func (l *Limiter) ResetAfterPause(limits map[string]Limit, now time.Time) {
 	for _, a := range l.accounts {
 		a.bucket = bucket{level: min(0, a.bucket.level), at: now, periodic: true}
 		a.unpropagated, a.lastTight = 0, now
@@ -414,10 +414,10 @@
 // DropInstances removes the instances for which drop returns true, with all they reported. It is
 // for those whose use is counted in the updates of others from now on. drop is called with the
 // time of the last update.
-func (l *Limiter) DropWhere(drop func(instance string, lastUpdate time.Time) bool) {
+func (l *Limiter) DropInstances(drop func(instance string, lastUpdate time.Time) bool) {
 	for name, n := range l.instances {
 		if drop(name, n.lastUpdate) {
-			l.Forget(name)
+			l.MarkDeparted(name)
 			delete(l.instances, name)
 		}
 	}
@@ -426,7 +426,7 @@
 // MarkDeparted records that an instance is no longer a member. What was extrapolated for it is
 // given back. What it reported is kept for departedRetention: it may only have been unreachable,
 // and what it admitted meanwhile must count when it comes back.
-func (l *Limiter) Forget(name string) {
+func (l *Limiter) MarkDeparted(name string) {
 	n := l.instances[name]
 	if n == nil {
 		return
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -77,7 +77,7 @@
 		return 0
 	}
 	if f.hubs > 0 && !f.limiters[f.rnd.IntN(f.hubs)].Confirm("t", f.limits()["t"], units, 1/float64(f.hubs), f.now).OK {
-		l.Return("t", units)
+		l.Refund("t", units)
 		f.refused += units
 		return 0
 	}
@@ -106,7 +106,7 @@
 			}
 			to.Apply(Update{
 				Instance: strconv.Itoa(i), Incarnation: f.started[i].UnixNano(), Admitted: from.Admitted(),
-				Levels: from.Levels(f.limits(), f.now), Seasoned: f.now.Sub(f.started[i]) > Season,
+				Levels: from.Levels(f.limits(), f.now), WarmedUp: f.now.Sub(f.started[i]) > WarmUp,
 			}, f.now)
 		}
 	}
@@ -120,7 +120,7 @@
 
 // limits returns the enforced limits by client account.
 func (f *cluster) limits() map[string]Limit {
-	return map[string]Limit{"t": Terms{testOver, testSlack, testWindow}.Stretch(f.limit)}
+	return map[string]Limit{"t": Tolerance{testOver, testSlack, testWindow}.EnforcedLimit(f.limit)}
 }
 
 // worst returns the largest number of units admitted in a window.
@@ -223,7 +223,7 @@
 
 // An instance that gets its first request of a client account after others have served it for long
 // must not have accumulated a debt meanwhile.
-func TestFirstRequestAtANodeAfterLongUseElsewhere(t *testing.T) {
+func TestFirstRequestAtAnInstanceAfterLongUseElsewhere(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 1000, Burst: 1500}
 	l, now := usedElsewhere(300)
@@ -232,7 +232,7 @@
 
 // An instance comes back after a network partition in which it was marked departed. What it admitted
 // meanwhile was never reported. It counts, except for the part from before maxExtrapolation.
-func TestUnitsOfANodeThatReturnsCount(t *testing.T) {
+func TestUnitsOfAnInstanceThatReturnsCount(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]Limit{"t": {Rate: 100, Burst: 1500}}
 	for _, c := range []struct {
@@ -241,10 +241,10 @@
 	}{{4 * time.Second, 1500 - 900}, {20 * time.Second, 1500 - 900*0.5}} {
 		l, now := usedElsewhere(30)
 		now = now.Add(time.Minute)
-		l.Forget("b")
+		l.MarkDeparted("b")
 		is.Equal(l.Levels(limits, now)["t"], 1500.0)
 		l.Apply(Update{Instance: "b", Incarnation: 1, Admitted: map[string]float64{"t": 1500}}, now)
-		l.Forget("b")
+		l.MarkDeparted("b")
 		now = now.Add(c.away - time.Millisecond)
 		_ = l.Levels(limits, now)
 		now = now.Add(time.Millisecond)
@@ -288,7 +288,7 @@
 
 // An instance also reports levels of client accounts that send requests only to other instances,
 // with the refill since the last update included.
-func TestLevelsOfAccountsThatCameToOthers(t *testing.T) {
+func TestLevelsOfAccountsServedByOthers(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 1000, Burst: 1500}
 	l, now := usedElsewhere(30)
@@ -318,7 +318,7 @@
 
 // Requests of a small client account come in bursts to single instances of a large fleet. The
 // account stays within its limit, and nothing is refused.
-func TestClumpsAtSingleNodesOfALargeFleet(t *testing.T) {
+func TestBurstsAtSingleInstancesOfALargeFleet(t *testing.T) {
 	is := is.New(t)
 	f := newCluster(60, Limit{Rate: 100_000, Burst: 115_000}, 11)
 	for range 150 {
@@ -378,7 +378,7 @@
 	is.True(l.Admit("t", limit, 9_900, now).OK)
 	v := l.Admit("t", limit, 5_000, now)
 	is.True(!v.OK)
-	is.Equal(v.Need, 1000.0)
+	is.Equal(v.RequiredLevel, 1000.0)
 	is.Equal(v.Level, 100.0)
 
 	now = now.Add(10 * time.Second)
@@ -387,8 +387,8 @@
 	is.True(l.Admit("t", limit, 500, now).OK)
 	v = l.Admit("t", limit, 500, now)
 	is.True(!v.OK)
-	is.Equal(v.Need, 0.0)
-	is.Equal(v.Known, 0.01)
+	is.Equal(v.RequiredLevel, 0.0)
+	is.Equal(v.KnownShare, 0.01)
 }
 
 // hubCluster returns a large fleet in which updates take a second, as they do through hubs.
@@ -443,7 +443,7 @@
 
 // All instances were paused for so long that their buckets would be full, and receive the updates of
 // each other only later.
-func TestNodesThatStoodStillBeginEmpty(t *testing.T) {
+func TestPausedInstancesStartWithEmptyBuckets(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 40, Burst: 80}
 	now := time.Unix(1000, 0)
@@ -451,7 +451,7 @@
 	l.SetInstances(4)
 	is.True(l.Admit("north", limit, 1, now).OK)
 	now = now.Add(20 * time.Second)
-	l.Resume(map[string]Limit{"north": limit}, now)
+	l.ResetAfterPause(map[string]Limit{"north": limit}, now)
 	is.True(!l.Admit("north", limit, 1, now).OK) // what the others admitted is not known here
 	is.Equal(l.Admitted()["north"], 1.0)         // others count further from this total
 	now = now.Add(time.Second)
@@ -459,7 +459,7 @@
 }
 
 // An instance that was paused applies what the others admitted meanwhile, before it detects the pause.
-func TestDebtAfterAStandstillIsBoundByOneBurst(t *testing.T) {
+func TestDebtAfterAPauseIsBoundByOneBurst(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 40, Burst: 80}
 	now := time.Unix(1000, 0)
@@ -472,16 +472,16 @@
 	is.True(l.Admit("north", limit, 1, now).OK)
 	now = now.Add(20 * time.Second)
 	l.Apply(update(900), now)
-	l.Resume(map[string]Limit{"north": limit}, now)
+	l.ResetAfterPause(map[string]Limit{"north": limit}, now)
 	l.Apply(update(910), now.Add(200*time.Millisecond))
-	l.Fill(map[string]Limit{"north": limit}, now.Add(time.Second))
-	l.Fill(map[string]Limit{"north": limit}, now.Add(2*time.Second))
+	l.Refill(map[string]Limit{"north": limit}, now.Add(time.Second))
+	l.Refill(map[string]Limit{"north": limit}, now.Add(2*time.Second))
 	is.True(l.Admit("north", limit, 1, now.Add(3*time.Second)).OK) // a debt of one burst is paid off in 2 s
 }
 
 // An instance that was paused first receives totals from before the pause, of a peer that was paused
 // as well, and then the current ones.
-func TestOldTotalsAfterAStandstillAreNoDebt(t *testing.T) {
+func TestOldTotalsAfterAPauseAreNoDebt(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]Limit{"north": {Rate: 40, Burst: 80}}
 	now := time.Unix(1000, 0)
@@ -489,15 +489,15 @@
 	l.SetInstances(2)
 	is.True(l.Admit("north", limits["north"], 1, now).OK)
 	now = now.Add(20 * time.Second)
-	l.Resume(limits, now)
+	l.ResetAfterPause(limits, now)
 	for _, admitted := range []float64{100, 900, 910} {
 		now = now.Add(300 * time.Millisecond)
-		l.Fill(limits, now)
+		l.Refill(limits, now)
 		l.Apply(Update{Instance: "n1", Incarnation: 1, Admitted: map[string]float64{"north": admitted}}, now)
 	}
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		l.Fill(limits, now)
+		l.Refill(limits, now)
 	}
 	is.True(l.Admit("north", limits["north"], 1, now).OK)
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -11,9 +11,9 @@
 
 // The kinds.
 const (
-	None    Kind = iota // the endpoint has no limit
-	Named               // the endpoint has the limit that the answer states
-	Unknown             // the answer does not say, or cannot be read: the previous limit stays in force
+	Unlimited Kind = iota // the endpoint has no limit
+	Limited               // the endpoint has the limit that the answer states
+	Unknown               // the answer does not say, or cannot be read: the previous limit stays in force
 )
 
 // Limit is the rate of requests that an endpoint accepts from all instances together.
@@ -29,17 +29,17 @@
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	switch {
 	case math.IsInf(rate, 1):
-		return Limit{Named, math.MaxFloat64}
+		return Limit{Limited, math.MaxFloat64}
 	case err != nil, math.IsNaN(rate), rate < 0:
 		return Limit{Kind: Unknown}
 	}
-	return Limit{Named, rate}
+	return Limit{Limited, rate}
 }
 
 // looserThan reports whether l admits more requests than m. Neither may be Unknown.
 func (l Limit) looserThan(m Limit) bool {
-	if m.Kind == None {
+	if m.Kind == Unlimited {
 		return false
 	}
-	return l.Kind == None || l.Rate > m.Rate
+	return l.Kind == Unlimited || l.Rate > m.Rate
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -23,13 +23,13 @@
 	Self      string                          // name of this instance
 	Instances func() []string                 // names of the live instances, in any order; Self may be missing. nil for Self alone
 	TimeOfDay func(now time.Time) time.Time   // time of day, roughly the same at all instances; nil to use now itself
-	Changed   func(endpoint string, c Change) // called for each change of a limit, without locks held; may be nil
+	OnChange  func(endpoint string, c Change) // called for each change of a limit, without locks held; may be nil
 }
 
 // Change is a change of the limit in force for an endpoint.
 type Change struct {
 	From, To Limit
-	Own      bool // observed in an answer to this instance, not reported by another one
+	Local    bool // observed in an answer to this instance, not reported by another one
 }
 
 // Table holds the limits of endpoints, by the ids of their incarnations. It is safe for concurrent
@@ -68,7 +68,7 @@
 // Observe applies the limit that an answer states for its endpoint. sent and read are the times at
 // which the request was sent and the answer was read.
 func (t *Table) Observe(endpoint string, stated Limit, sent, read time.Time) {
-	if stated.Kind == Unknown || stated.Kind == None && !t.Any() {
+	if stated.Kind == Unknown || stated.Kind == Unlimited && !t.HasLimits() {
 		return
 	}
 	t.notifyChange(endpoint, t.observe(endpoint, stated, sent, read))
@@ -87,10 +87,10 @@
 	if looser {
 		asOf = sent
 	}
-	if stated.Kind == None && !looser || asOf.Before(e.asOf) || looser && asOf.Equal(e.asOf) {
+	if stated.Kind == Unlimited && !looser || asOf.Before(e.asOf) || looser && asOf.Equal(e.asOf) {
 		return Change{}
 	}
-	c := Change{From: e.limit, To: stated, Own: true}
+	c := Change{From: e.limit, To: stated, Local: true}
 	e.own = true
 	t.entries[endpoint] = e
 	t.setLimit(e, stated, asOf, read)
@@ -104,7 +104,7 @@
 		e.grants = emptyGrants(slotAt(t.options.TimeOfDay(now)))
 	}
 	if e.limit.Kind != l.Kind {
-		if l.Kind == Named {
+		if l.Kind == Limited {
 			t.limitedCount.Add(1)
 		} else {
 			t.limitedCount.Add(-1)
@@ -115,25 +115,25 @@
 
 // notifyChange calls Options.OnChange if the limit changed.
 func (t *Table) notifyChange(endpoint string, c Change) {
-	if c.From != c.To && t.options.Changed != nil {
-		t.options.Changed(endpoint, c)
+	if c.From != c.To && t.options.OnChange != nil {
+		t.options.OnChange(endpoint, c)
 	}
 }
 
 // HasLimits reports whether any endpoint has a limit.
-func (t *Table) Any() bool { return t.limitedCount.Load() > 0 }
+func (t *Table) HasLimits() bool { return t.limitedCount.Load() > 0 }
 
 // Exhausted returns the endpoints with a limit for which this instance holds no grant now. It
 // returns nil while no endpoint has a limit.
 func (t *Table) Exhausted(now time.Time) map[string]bool {
-	if !t.Any() {
+	if !t.HasLimits() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]bool)
 	for id, e := range t.entries {
-		if e.limit.Kind == Named && !t.refillGrants(id, e, now).available() {
+		if e.limit.Kind == Limited && !t.refillGrants(id, e, now).available() {
 			out[id] = true
 		}
 	}
@@ -142,25 +142,25 @@
 
 // Allows reports whether this instance may send a request to an endpoint now.
 func (t *Table) Allows(endpoint string, now time.Time) bool {
-	if !t.Any() {
+	if !t.HasLimits() {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[endpoint]
-	return e == nil || e.limit.Kind != Named || t.refillGrants(endpoint, e, now).available()
+	return e == nil || e.limit.Kind != Limited || t.refillGrants(endpoint, e, now).available()
 }
 
 // Take uses a grant for a request that is sent now. It returns ErrNoGrant if the endpoint has a
 // limit and this instance holds no grant for it.
 func (t *Table) Take(endpoint string, now time.Time) error {
-	if !t.Any() {
+	if !t.HasLimits() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[endpoint]
-	if e == nil || e.limit.Kind != Named {
+	if e == nil || e.limit.Kind != Limited {
 		return nil
 	}
 	if !t.refillGrants(endpoint, e, now).take() {
@@ -187,7 +187,7 @@
 
 // NextAllowed returns when this instance may next send a request to an endpoint, at most
 // maxNextWait from now.
-func (t *Table) Next(endpoint string, now time.Time) time.Time {
+func (t *Table) NextAllowed(endpoint string, now time.Time) time.Time {
 	if t.Allows(endpoint, now) {
 		return now
 	}
@@ -213,7 +213,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		if listed(id) && (e.limit.Kind == Named || now.Sub(e.asOf) < liftedRetention) {
+		if listed(id) && (e.limit.Kind == Limited || now.Sub(e.asOf) < liftedRetention) {
 			continue
 		}
 		t.setLimit(e, Limit{}, e.asOf, now)
@@ -276,7 +276,7 @@
 		e = &entry{}
 	}
 	asOf := now.Add(-r.Age)
-	if r.Limit.Kind == None && e.limit.Kind == None || !asOf.After(e.asOf) {
+	if r.Limit.Kind == Unlimited && e.limit.Kind == Unlimited || !asOf.After(e.asOf) {
 		return Change{}
 	}
 	c := Change{From: e.limit, To: r.Limit}
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -17,14 +17,14 @@
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]Limit{
-		"1.7": {Named, 1.7}, " 2 ": {Named, 2}, "0": {Named, 0}, "1e2": {Named, 100}, "1e999": {Named, math.MaxFloat64},
+		"1.7": {Limited, 1.7}, " 2 ": {Limited, 2}, "0": {Limited, 0}, "1e2": {Limited, 100}, "1e999": {Limited, math.MaxFloat64},
 		"": {Kind: Unknown}, "soon": {Kind: Unknown}, "-1": {Kind: Unknown}, "NaN": {Kind: Unknown}, "1,5": {Kind: Unknown},
 	} {
 		is.Equal(Parse(text), want)
 	}
 }
 
-func limited(rate float64) Limit { return Limit{Named, rate} }
+func limited(rate float64) Limit { return Limit{Limited, rate} }
 
 func (t *Table) limit(endpoint string) Limit {
 	t.mu.Lock()
@@ -77,13 +77,13 @@
 func TestAChangeIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	var changes []Change
-	table := New(Options{Self: "a", Changed: func(_ string, c Change) { changes = append(changes, c) }})
+	table := New(Options{Self: "a", OnChange: func(_ string, c Change) { changes = append(changes, c) }})
 	for ms := range 5 {
 		table.Observe("e", limited(2), at(ms), at(ms+10))
 	}
 	table.Apply([]Report{{Endpoint: "e", Limit: limited(1)}}, at(100))
 	table.Expire(func(string) bool { return false }, at(200))
-	is.Equal(changes, []Change{{To: limited(2), Own: true}, {From: limited(2), To: limited(1)}})
+	is.Equal(changes, []Change{{To: limited(2), Local: true}, {From: limited(2), To: limited(1)}})
 	is.Equal(table.limitedCount.Load(), int64(0))
 }
 
@@ -135,7 +135,7 @@
 		for table.Take("e", at(ms)) == nil {
 			continue
 		}
-		next := table.Next("e", at(ms))
+		next := table.NextAllowed("e", at(ms))
 		is.True(next.After(at(ms)))
 		is.True(next.Sub(at(ms)) == maxNextWait || GrantsOf(Slot{Endpoint: "e", Rate: 1, Index: slotAt(next)}, "a", names) > 0)
 	}
--- a/internal/ratelimit/wire/wire.go
+++ b/internal/ratelimit/wire/wire.go
@@ -13,7 +13,7 @@
 // Encode converts reports to messages.
 func Encode(reports []ratelimit.Report) []*peerpb.EndpointLimit {
 	return lo.Map(reports, func(r ratelimit.Report, _ int) *peerpb.EndpointLimit {
-		return &peerpb.EndpointLimit{Endpoint: r.Endpoint, Named: r.Limit.Kind == ratelimit.Named, Rate: r.Limit.Rate, Age: int64(r.Age)}
+		return &peerpb.EndpointLimit{Endpoint: r.Endpoint, Named: r.Limit.Kind == ratelimit.Limited, Rate: r.Limit.Rate, Age: int64(r.Age)}
 	})
 }
 
@@ -26,7 +26,7 @@
 	return lo.FilterMap(limits[:min(len(limits), maxReports)], func(l *peerpb.EndpointLimit, _ int) (ratelimit.Report, bool) {
 		r := ratelimit.Report{Endpoint: l.GetEndpoint(), Age: time.Duration(l.GetAge())}
 		if l.GetNamed() {
-			r.Limit = ratelimit.Limit{Kind: ratelimit.Named, Rate: l.GetRate()}
+			r.Limit = ratelimit.Limit{Kind: ratelimit.Limited, Rate: l.GetRate()}
 		}
 		return r, l.GetRate() >= 0 && l.GetAge() >= 0
 	})
--- a/internal/ratelimit/wire/wire_test.go
+++ b/internal/ratelimit/wire/wire_test.go
@@ -14,7 +14,7 @@
 func TestReportsAreReadAsTheyWereWritten(t *testing.T) {
 	is := is.New(t)
 	reports := []ratelimit.Report{
-		{Endpoint: "a", Limit: ratelimit.Limit{Kind: ratelimit.Named, Rate: 1.5}, Age: time.Second},
+		{Endpoint: "a", Limit: ratelimit.Limit{Kind: ratelimit.Limited, Rate: 1.5}, Age: time.Second},
 		{Endpoint: "b", Age: time.Minute},
 	}
 	is.Equal(Decode(Encode(reports)), reports)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -71,32 +71,32 @@
 	r := New(Request{ID: "a"}, "owner")
 	r.SetHolder("h", 0)
 	is.NoErr(r.Append(0, "x", "y"))
-	u, pending := r.Unreported()
+	u, pending := r.PendingUpdate()
 	is.True(pending)
 	is.Equal(u.Tokens, []string{"x", "y"})
-	r.Reported("other", u) // from a holder that was replaced
-	_, pending = r.Unreported()
+	r.Acknowledge("other", u) // from a holder that was replaced
+	_, pending = r.PendingUpdate()
 	is.True(pending)
-	r.Reported("h", u)
-	_, pending = r.Unreported()
+	r.Acknowledge("h", u)
+	_, pending = r.PendingUpdate()
 	is.True(!pending)
 	r.Finish(Result{Status: 200})
-	u, pending = r.Unreported()
+	u, pending = r.PendingUpdate()
 	is.True(pending)
 	is.Equal(u.Result.Status, 200)
 	is.True(!u.Fetched)
 	r.MarkFetched()
-	is.True(r.Reported("h", u)) // another update is pending
-	u, pending = r.Unreported()
+	is.True(r.Acknowledge("h", u)) // another update is pending
+	u, pending = r.PendingUpdate()
 	is.True(pending && u.Fetched)
-	is.True(!r.Reported("h", u))
+	is.True(!r.Acknowledge("h", u))
 }
 
-func TestExpiryKeepsWhatMayNotBeRepeated(t *testing.T) {
+func TestExpiryKeepsNonRepeatableRequests(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
-	model := New(Request{ID: "m", Deadline: t0, Arrived: t0.Add(-time.Minute), Repeatable: true}, "o")
-	pay := New(Request{ID: "p", Deadline: t0, Arrived: t0.Add(-time.Minute)}, "o")
+	model := New(Request{ID: "m", Deadline: t0, ArrivedAt: t0.Add(-time.Minute), Repeatable: true}, "o")
+	pay := New(Request{ID: "p", Deadline: t0, ArrivedAt: t0.Add(-time.Minute)}, "o")
 	s.Add(model)
 	s.Add(pay)
 	pay.MarkFetched()
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -76,7 +76,7 @@
 }
 
 // Filter returns the records for which keep is true. keep must not use the store.
-func (s *Store) All(keep func(*Record) bool) []*Record {
+func (s *Store) Filter(keep func(*Record) bool) []*Record {
 	var out []*Record
 	for i := range s.shards {
 		s.shards[i].mu.RLock()
@@ -99,7 +99,7 @@
 // arrived more than twice fetchedGrace ago. A request that must not run twice is
 // kept until the retention period after its deadline.
 func (s *Store) Expired(now time.Time, retention time.Duration) []*Record {
-	return s.All(func(r *Record) bool {
+	return s.Filter(func(r *Record) bool {
 		end := r.Deadline.Add(fetchedGrace)
 		if !r.Repeatable {
 			end = r.Deadline.Add(retention)
@@ -107,6 +107,6 @@
 		if now.After(end) {
 			return true
 		}
-		return r.Repeatable && r.Fetched() && now.After(r.Arrived.Add(2*fetchedGrace))
+		return r.Repeatable && r.Fetched() && now.After(r.ArrivedAt.Add(2*fetchedGrace))
 	})
 }
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -16,7 +16,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Replace(all, nil, 0, false, began)
+		r.ApplyListing(all, nil, 0, false, began)
 	}
 }
 
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -82,7 +82,7 @@
 
 // IsStale reports whether a newer entry of the same endpoint is known, so that Put would ignore this
 // one.
-func (r *Registry) Outdated(s Endpoint) bool {
+func (r *Registry) IsStale(s Endpoint) bool {
 	newest := r.newest[s.StoreID()]
 	return newest != nil && r.classify(newest, &s) == staleEntry
 }
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -23,14 +23,14 @@
 	is := is.New(t)
 	r := New(testDrain)
 	is.Equal(r.Put(entryOf("a", 1, 1, false), began), Joined)
-	is.Equal(r.Put(entryOf("a", 1, 2, true), began), Left)
+	is.Equal(r.Put(entryOf("a", 1, 2, true), began), Draining)
 	is.Equal(r.Put(entryOf("a", 9, 3, false), began), Restarted)
 	s, ok := r.Find("a")
 	is.True(ok && !s.Leaving && s.ID == IncarnationID("a", s.StartedAt))
 	is.Equal(r.Put(entryOf("a", 1, 2, true), began), None) // arrives late
 	is.True(listed(r, "a"))
-	is.Equal(r.Put(entryOf("a", 9, 4, true), began), Left)
-	is.Equal(r.Put(entryOf("a", 10, 5, true), began), Left) // a new incarnation that leaves at once
+	is.Equal(r.Put(entryOf("a", 9, 4, true), began), Draining)
+	is.Equal(r.Put(entryOf("a", 10, 5, true), began), Draining) // a new incarnation that leaves at once
 }
 
 // Updates about an earlier incarnation, or from before an entry was removed, arrive late: from a
@@ -41,7 +41,7 @@
 	r.Put(entryOf("a", 1, 5, false), began)
 	r.Put(entryOf("b", 1, 6, false), began)
 	is.Equal(r.Remove("a", 4, false, began), None)
-	is.Equal(len(r.Replace(nil, nil, 4, false, began)), 0) // an older listing
+	is.Equal(len(r.ApplyListing(nil, nil, 4, false, began)), 0) // an older listing
 	is.Equal(r.Remove("a", 9, false, began), Gone)
 	is.Equal(r.Put(entryOf("a", 1, 5, false), began), None)
 	is.Equal(r.Withhold("b", 5, began), None)
@@ -51,7 +51,7 @@
 // The store applies a write of an earlier incarnation after those of the later one: neither is used
 // until the later one writes again. If the entry stays, the endpoint's clock was set back and the
 // incarnation is accepted.
-func TestAnEarlierLifeInANewerEntry(t *testing.T) {
+func TestAnEarlierIncarnationInANewerEntry(t *testing.T) {
 	is := is.New(t)
 	r := New(testDrain)
 	r.Put(entryOf("a", 9, 5, false), began)
@@ -80,13 +80,13 @@
 }
 
 // The entry of an endpoint becomes invalid: the endpoint is used again once its entry is valid.
-func TestAWithheldServerComesBack(t *testing.T) {
+func TestAWithheldEndpointComesBack(t *testing.T) {
 	is := is.New(t)
 	r := New(testDrain)
 	r.Put(entryOf("a", 1, 1, false), began)
 	is.Equal(r.Withhold("a", 2, began), Withheld)
 	is.Equal(r.Withhold("a", 2, began), None) // read again
-	is.Equal(len(r.Replace(nil, []string{"a"}, 3, false, began)), 0)
+	is.Equal(len(r.ApplyListing(nil, []string{"a"}, 3, false, began)), 0)
 	is.Equal(len(r.List()), 0)
 	is.Equal(r.Put(entryOf("a", 1, 4, false), began), Joined)
 	is.Equal(len(r.List()), 1)
@@ -169,7 +169,7 @@
 		case !last.removed:
 			listing = []Endpoint{last.endpoint}
 		}
-		r.Replace(listing, invalid, last.revision, false, now)
+		r.ApplyListing(listing, invalid, last.revision, false, now)
 		s, used := r.Find("a")
 		used = used && !s.Leaving
 		wanted := !last.invalid && !last.removed && !last.endpoint.Leaving && !left[last.endpoint.ID]
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -30,8 +30,8 @@
 	Slots     int
 	Leaving   bool      // it gets no new requests
 	Spot      bool      // may be reclaimed
-	LeavesAt  time.Time // when a leaving endpoint ends; zero if not known
-	WarmAt    time.Time // until when it is slow after its start
+	EndsAt    time.Time // when a leaving endpoint ends; zero if not known
+	ColdUntil time.Time // until when it is slow after its start
 }
 
 // Change is the kind of change of an endpoint.
@@ -41,7 +41,7 @@
 const (
 	None Change = iota
 	Joined
-	Left      // it is leaving and gets no new requests
+	Draining  // it is leaving and gets no new requests
 	Gone      // its entry was removed
 	Absent    // its entry was removed while the store was unstable; it stays in use for a while
 	Restarted // a new incarnation accepts requests
@@ -129,7 +129,7 @@
 	restarted := old != nil && old.endpoint.ID != s.ID
 	switch {
 	case s.Leaving && !wasLeaving && (old == nil || restarted || !old.endpoint.Leaving):
-		return Left
+		return Draining
 	case s.Leaving:
 		return None
 	case restarted:
@@ -142,7 +142,7 @@
 
 // MarkLeaving marks an incarnation that announced itself that it leaves. Its entry in the store may
 // say so much later or never.
-func (r *Registry) Leave(id string, now time.Time) []Event {
+func (r *Registry) MarkLeaving(id string, now time.Time) []Event {
 	for name, e := range r.endpoints {
 		if e.endpoint.ID != id || e.withheld {
 			continue
@@ -153,7 +153,7 @@
 		}
 		e.endpoint.Leaving = true
 		r.cachedList = nil
-		return []Event{{Left, e.endpoint}}
+		return []Event{{Draining, e.endpoint}}
 	}
 	return nil
 }
@@ -208,7 +208,7 @@
 // ApplyListing applies a complete listing of the store as of a revision, 0 if that is not known.
 // Endpoints that are missing in it are removed, see Remove. withheld are the names of endpoints with
 // an invalid entry, which are left as they are.
-func (r *Registry) Replace(all []Endpoint, withheld []string, at store.Revision, storeUnstable bool, now time.Time) (changed []Event) {
+func (r *Registry) ApplyListing(all []Endpoint, withheld []string, at store.Revision, storeUnstable bool, now time.Time) (changed []Event) {
 	listed := make(map[string]bool, len(all))
 	for _, s := range all {
 		listed[s.StoreID()] = true
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -59,7 +59,7 @@
 	r := New(testDrain)
 	now := time.Unix(1000, 0)
 	r.Put(Endpoint{ID: "a"}, now)
-	is.Equal(r.Put(Endpoint{ID: "a", Leaving: true}, now), Left)
+	is.Equal(r.Put(Endpoint{ID: "a", Leaving: true}, now), Draining)
 	r.Put(Endpoint{ID: "a"}, now) // an older entry
 	is.True(!listed(r, "a"))
 	is.Equal(r.Remove("a", 0, true, now), Gone) // it announced that it leaves
@@ -67,12 +67,12 @@
 	is.True(!listed(r, "a"))
 }
 
-func TestAListingWithoutAServerTakesItOut(t *testing.T) {
+func TestAListingWithoutAnEndpointRemovesIt(t *testing.T) {
 	is := is.New(t)
 	r := New(testDrain)
 	now := time.Unix(1000, 0)
-	r.Replace([]Endpoint{{ID: "a"}, {ID: "b"}}, nil, 0, false, now)
-	changed := r.Replace([]Endpoint{{ID: "b"}}, nil, 0, false, now)
+	r.ApplyListing([]Endpoint{{ID: "a"}, {ID: "b"}}, nil, 0, false, now)
+	changed := r.ApplyListing([]Endpoint{{ID: "b"}}, nil, 0, false, now)
 	is.Equal(len(changed), 1)
 	is.Equal(changed[0].Change, Gone)
 	is.Equal(len(r.List()), 1)
@@ -80,17 +80,17 @@
 
 // An endpoint announces in an answer that it leaves, before its entry in the store says so: a later
 // listing in which it still accepts requests does not bring it back.
-func TestAnIncarnationsOwnWordThatItLeavesIsSticky(t *testing.T) {
+func TestAnAnnouncementThatAnIncarnationLeavesIsSticky(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	r := New(2 * time.Second)
 	s := Endpoint{ID: "a", Service: "svc"}
 	is.Equal(r.Put(s, now), Joined)
-	changed := r.Leave("a", now)
+	changed := r.MarkLeaving("a", now)
 	is.Equal(len(changed), 1)
-	is.Equal(changed[0].Change, Left)
-	is.Equal(len(r.Leave("a", now)), 0)
-	is.Equal(len(r.Leave("other", now)), 0)
-	is.Equal(len(r.Replace([]Endpoint{s}, nil, 0, false, now)), 0)
+	is.Equal(changed[0].Change, Draining)
+	is.Equal(len(r.MarkLeaving("a", now)), 0)
+	is.Equal(len(r.MarkLeaving("other", now)), 0)
+	is.Equal(len(r.ApplyListing([]Endpoint{s}, nil, 0, false, now)), 0)
 	is.True(r.List()[0].Leaving)
 }
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -48,12 +48,12 @@
 		streams = append(streams, drain.Stream{ID: a.rec.ID, Remaining: a.rec.MaxTokens - pos, KVTokens: len(a.rec.Body)/4 + pos})
 	}
 	limits := drain.Limits{
-		Deadline: e.Deadline, Step: e.Endpoint.Load().Step, MoveKV: s.Table.System.MoveKV,
-		KVRate: kvExportRate / float64(1+len(s.Members)),
+		Deadline: e.Deadline, TokenInterval: e.Endpoint.Load().TokenInterval, MoveKV: s.Table.System.MoveKV,
+		KVTokensPerSecond: kvExportRate / float64(1+len(s.Members)),
 	}
 	moves := make(chan struct{}, 1) // one export at a time, since all share the engine's network link
 	for _, act := range drain.Plan(streams, limits, r.Clock.Now()) {
-		if act.Way == drain.Finish {
+		if act.Strategy == drain.Finish {
 			continue
 		}
 		r.wait.Go(func() { r.moveStream(runs[act.ID], e, act, moves) })
@@ -71,7 +71,7 @@
 // block are left out.
 func (r *Relay) idleCaches(e *route.Endpoint) []*record.Record {
 	last := make(map[string]*record.Record)
-	done := r.store.All(func(rec *record.Record) bool {
+	done := r.store.Filter(func(rec *record.Record) bool {
 		return rec.Kind == record.KindModel && rec.Endpoint() == e.ID && rec.Done() && len(rec.Body) >= prefix.BlockBytes
 	})
 	for _, rec := range done {
@@ -79,7 +79,7 @@
 			last[rec.Session] = rec
 		}
 	}
-	out := slices.SortedFunc(maps.Values(last), func(a, b *record.Record) int { return b.Arrived.Compare(a.Arrived) })
+	out := slices.SortedFunc(maps.Values(last), func(a, b *record.Record) int { return b.ArrivedAt.Compare(a.ArrivedAt) })
 	return out[:min(len(out), maxIdleMoves)]
 }
 
@@ -100,11 +100,11 @@
 			return
 		}
 		var home [1]*route.Endpoint
-		if route.Homes(pool, xxhash.Sum64String(rec.Session), home[:]) == 0 {
+		if route.AffinityEndpoints(pool, xxhash.Sum64String(rec.Session), home[:]) == 0 {
 			return
 		}
 		chain := prefix.Chain(class.Model, string(rec.Body))
-		if home[0].AskedForRest(r.Clock.Now()) || home[0].Blocks.Held(chain) == len(chain) {
+		if home[0].Paused(r.Clock.Now()) || home[0].Blocks.Held(chain) == len(chain) {
 			continue // it asked for a pause, or another instance moved the cache of a later turn
 		}
 		moves <- struct{}{}
@@ -120,11 +120,11 @@
 // cannot be moved is recomputed at another engine.
 func (r *Relay) moveStream(a *run, e control.EndpointLeaving, act drain.Action, moves chan struct{}) {
 	select {
-	case <-time.After(r.Clock.Until(act.At)):
+	case <-time.After(r.Clock.Until(act.StartAt)):
 	case <-r.ctx.Done():
 		return
 	}
-	if act.Way == drain.Move {
+	if act.Strategy == drain.Move {
 		moves <- struct{}{}
 		ok := r.moveKV(a, e)
 		<-moves
@@ -145,7 +145,7 @@
 		return rec.Done()
 	}
 	req := r.routeRequest(rec, class)
-	req.Prefer, req.Recompute, req.Session = "", 0, r.random() // a random session spreads the streams over the other engines
+	req.Prefer, req.RecomputePenalty, req.Session = "", 0, r.random() // a random session spreads the streams over the other engines
 	d, ok := r.routingPolicy(route.PolicyDefault).Choose(pool, req, r.Clock.Now())
 	if !ok {
 		return false
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -57,7 +57,7 @@
 			r.event(event.RecordLost, zap.String("request", id))
 			return fault.New(fault.StepResume, "", fault.KindNotFound, fault.MayHaveRun, "no entry instance holds the request")
 		case err == errHolderSilent && r.Clock.Since(progressAt) > holderSilentTimeout:
-			return fault.New(fault.StepResume, "", fault.KindTimeout, fault.MayHaveRun, "the instance that holds the request does not answer").Retry(r.Clock.Now().Add(retryAfter))
+			return fault.New(fault.StepResume, "", fault.KindTimeout, fault.MayHaveRun, "the instance that holds the request does not answer").WithRetryAt(r.Clock.Now().Add(retryAfter))
 		case err == nil:
 			progressAt, missingSince = r.Clock.Now(), time.Time{}
 		case err != errNoRecord && err != errRecordGone:
@@ -205,7 +205,7 @@
 // candidates returns the instances to ask for a record: all that are not dead in a small fleet,
 // else the keepers of the id's shard.
 func (r *Relay) candidates(s *control.Snapshot, id string) []member.Member {
-	if len(s.Members) <= member.FullMesh {
+	if len(s.Members) <= member.FullMeshLimit {
 		var out []member.Member
 		for _, m := range s.Members {
 			if m.State != member.Dead {
@@ -244,7 +244,7 @@
 		}
 	}
 	r.keeperMu.Lock()
-	c, voted := r.keeper.Look(id, r.Clock.Now())
+	c, voted := r.keeper.Lookup(id, r.Clock.Now())
 	r.keeperMu.Unlock()
 	if voted {
 		consider(location{owner: c.Owner, digest: c.Digest, claimed: true})
--- a/internal/relay/handle.go
+++ b/internal/relay/handle.go
@@ -31,7 +31,7 @@
 		r.applySuspects(b.Suspects.Suspects)
 		return true, done(answer)
 	case *peerpb.Call_Release:
-		r.releaseClaim(b.Release.Id, b.Release.Attempt, peer.Time(b.Release.Lapse))
+		r.releaseClaim(b.Release.Id, b.Release.Attempt, peer.FromUnixNano(b.Release.Lapse))
 		return true, done(answer)
 	case *peerpb.Call_Pull:
 		return true, r.sendClaims(ctx, b.Pull, call.From, answer)
@@ -57,7 +57,7 @@
 	if s.Leaving {
 		return &peerpb.HoldAnswer{Outcome: peerpb.HoldAnswer_LEAVING}
 	}
-	if s.Table != nil && r.store.Len() >= s.Table.System.Records {
+	if s.Table != nil && r.store.Len() >= s.Table.System.RecordCapacity {
 		return &peerpb.HoldAnswer{Outcome: peerpb.HoldAnswer_FULL}
 	}
 	rec, added := r.store.Add(peer.FromRecord(h.Record, from))
@@ -116,7 +116,7 @@
 	}
 	r.keeperMu.Lock()
 	defer r.keeperMu.Unlock()
-	if c, ok := r.keeper.Look(id, r.Clock.Now()); ok {
+	if c, ok := r.keeper.Lookup(id, r.Clock.Now()); ok {
 		return &peerpb.FindAnswer{Found: true, Owner: c.Owner, Voted: true, Digest: c.Digest}
 	}
 	return &peerpb.FindAnswer{}
@@ -138,7 +138,7 @@
 		return fault.New(fault.StepPeer, to, fault.KindRefused, fault.NotRun, "this instance has installed another view")
 	}
 	out := &peerpb.PullAnswer{Epoch: t.Epoch, Ready: make([]byte, (claim.Shards+7)/8), From: r.Self}
-	for i, knew := range t.Knew {
+	for i, knew := range t.Complete {
 		if knew {
 			out.Ready[i/8] |= 1 << (i % 8)
 		}
@@ -151,7 +151,7 @@
 
 func (r *Relay) wireClaim(c claim.Claim) *peerpb.Claim {
 	m := &peerpb.Claim{
-		Key: c.Key, Attempt: c.Attempt, Owner: c.Owner, Lapse: peer.Nanos(c.Lapse), Digest: c.Digest,
+		Key: c.Key, Attempt: c.Attempt, Owner: c.Owner, Lapse: peer.ToUnixNano(c.ExpiresAt), Digest: c.Digest,
 		Done: c.Done, Contested: c.Contested, Released: c.Released,
 	}
 	if rec, ok := r.store.Get(c.Key); ok && rec.Done() && !rec.Repeatable {
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -107,7 +107,7 @@
 			lastErr = fault.New(fault.StepHold, m.ID, fault.KindRefused, fault.NotRun, "second copy: %s", h.GetOutcome())
 		}
 	}
-	return fault.New(fault.StepHold, "", fault.KindRefused, notRunIf(rec.Fresh), "no instance in another hall accepted a second copy: %w", lastErr).Retry(r.Clock.Now().Add(retryAfter))
+	return fault.New(fault.StepHold, "", fault.KindRefused, notRunIf(rec.GeneratedID), "no instance in another hall accepted a second copy: %w", lastErr).WithRetryAt(r.Clock.Now().Add(retryAfter))
 }
 
 // voteCount counts the keepers' answers to one attempt to claim a key.
@@ -152,7 +152,7 @@
 			}
 		}
 		if !r.Clock.Now().Before(limit) || ctx.Err() != nil {
-			return fault.New(fault.StepClaim, "", fault.KindTimeout, notRunIf(rec.Fresh), "no majority of the keepers of the key voted for the attempt in time").Retry(r.Clock.Now().Add(retryAfter))
+			return fault.New(fault.StepClaim, "", fault.KindTimeout, notRunIf(rec.GeneratedID), "no majority of the keepers of the key voted for the attempt in time").WithRetryAt(r.Clock.Now().Add(retryAfter))
 		}
 		pause := claimPause + time.Duration(r.random()%uint64(claimPause))
 		select {
@@ -214,7 +214,7 @@
 }
 
 func (r *Relay) requestVote(ctx context.Context, k claim.Member, head *peerpb.Record, epoch uint64, attempt string, lapse time.Time) keeperAnswer {
-	hold := &peerpb.Hold{Record: head, Attempt: attempt, Epoch: epoch, Lapse: peer.Nanos(lapse)}
+	hold := &peerpb.Hold{Record: head, Attempt: attempt, Epoch: epoch, Lapse: peer.ToUnixNano(lapse)}
 	if k.ID == r.Self {
 		return keeperAnswer{k, r.vote(hold)}
 	}
@@ -256,9 +256,9 @@
 	now := r.Clock.Now()
 	m := h.Record
 	r.keeperMu.Lock()
-	a := r.keeper.Vote(claim.Vote{
+	a := r.keeper.Vote(claim.VoteRequest{
 		Epoch: h.Epoch, Key: m.Id, Attempt: h.Attempt, Owner: m.Owner,
-		Lapse: peer.Time(h.Lapse), Digest: m.Digest, Fresh: m.Fresh,
+		ExpiresAt: peer.FromUnixNano(h.Lapse), Digest: m.Digest, GeneratedKey: m.Fresh,
 	}, now)
 	r.keeperMu.Unlock()
 	out := &peerpb.HoldAnswer{Epoch: a.Epoch, Owner: a.Claim.Owner, Attempt: a.Claim.Attempt, Done: a.Claim.Done}
@@ -290,7 +290,7 @@
 		r.wait.Go(func() {
 			ctx, cancel := context.WithTimeout(r.ctx, claimTimeout)
 			defer cancel()
-			_, _ = r.Peers.Call(ctx, k.Addr, &peerpb.Call{Body: &peerpb.Call_Release{Release: &peerpb.Release{Id: rec.ID, Attempt: attempt, Lapse: peer.Nanos(lapse)}}})
+			_, _ = r.Peers.Call(ctx, k.Addr, &peerpb.Call{Body: &peerpb.Call_Release{Release: &peerpb.Release{Id: rec.ID, Attempt: attempt, Lapse: peer.ToUnixNano(lapse)}}})
 		})
 	}
 }
@@ -374,11 +374,11 @@
 		case <-t.C:
 		}
 		r.keeperMu.Lock()
-		missing, view := r.keeper.Missing(), r.keeper.View()
-		n := r.keeper.Unknown(r.Clock.Now())
+		missing, view := r.keeper.PendingTransfers(), r.keeper.View()
+		n := r.keeper.UnknownShards(r.Clock.Now())
 		r.keeperMu.Unlock()
 		if n > unknown {
-			r.event(event.ShardsUnknown, zap.Int("shards", n))
+			r.event(event.ClaimsUncertain, zap.Int("shards", n))
 		}
 		unknown = n
 		var wait sync.WaitGroup
@@ -401,13 +401,13 @@
 		return // no answer, or another incarnation of the instance has the address now
 	}
 	p := a.GetPull()
-	t := claim.Transfer{Epoch: p.Epoch, Knew: make([]bool, claim.Shards)}
-	for i := range t.Knew {
-		t.Knew[i] = p.Ready[i/8]&(1<<(i%8)) != 0
+	t := claim.Transfer{Epoch: p.Epoch, Complete: make([]bool, claim.Shards)}
+	for i := range t.Complete {
+		t.Complete[i] = p.Ready[i/8]&(1<<(i%8)) != 0
 	}
 	for _, c := range p.Claims {
 		t.Claims = append(t.Claims, claim.Claim{
-			Key: c.Key, Attempt: c.Attempt, Owner: c.Owner, Lapse: peer.Time(c.Lapse), Digest: c.Digest,
+			Key: c.Key, Attempt: c.Attempt, Owner: c.Owner, ExpiresAt: peer.FromUnixNano(c.Lapse), Digest: c.Digest,
 			Done: c.Done, Contested: c.Contested, Released: c.Released,
 		})
 		if c.Result != nil {
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -14,7 +14,7 @@
 	return keeperAnswer{answer: &peerpb.HoldAnswer{Outcome: outcome, Owner: owner, Attempt: attempt, Done: done}}
 }
 
-func TestBallots(t *testing.T) {
+func TestVoteCounts(t *testing.T) {
 	const (
 		held     = peerpb.HoldAnswer_HELD
 		taken    = peerpb.HoldAnswer_TAKEN
--- a/internal/relay/leave.go
+++ b/internal/relay/leave.go
@@ -92,7 +92,7 @@
 
 // owned returns the unfinished records that this instance runs.
 func (r *Relay) owned() []*record.Record {
-	return r.store.All(func(rec *record.Record) bool { return rec.Owner() == r.Self && !rec.Done() })
+	return r.store.Filter(func(rec *record.Record) bool { return rec.Owner() == r.Self && !rec.Done() })
 }
 
 // updatesDelivered reports whether no record has updates that wait to be sent to the holder of its
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -18,9 +18,9 @@
 	return ratelimit.New(ratelimit.Options{
 		Self:      r.Self,
 		Instances: r.liveInstances,
-		Changed: func(endpoint string, c ratelimit.Change) {
+		OnChange: func(endpoint string, c ratelimit.Change) {
 			r.event(event.EndpointRateLimit, zap.String("endpoint", endpoint), zap.Float64("from", c.From.Rate), zap.Float64("to", c.To.Rate),
-				zap.Bool("limited", c.To.Kind == ratelimit.Named), zap.Bool("by_peer", !c.Own))
+				zap.Bool("limited", c.To.Kind == ratelimit.Limited), zap.Bool("by_peer", !c.Local))
 		},
 	})
 }
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -29,7 +29,7 @@
 	}
 	pool := r.snapshot().Models[class.Model]
 	if pool == nil || pool.Size == 0 {
-		return class, nil, fault.New(fault.StepRoute, "", fault.KindRefused, notRunIf(rec.Fresh && !rec.Sent()), "no endpoint serves model %s", class.Model).Retry(r.Clock.Now().Add(retryAfter))
+		return class, nil, fault.New(fault.StepRoute, "", fault.KindRefused, notRunIf(rec.GeneratedID && !rec.Sent()), "no endpoint serves model %s", class.Model).WithRetryAt(r.Clock.Now().Add(retryAfter))
 	}
 	return class, pool, nil
 }
@@ -39,8 +39,8 @@
 	prompt := string(rec.Body)
 	return &route.Request{
 		Session: xxhash.Sum64String(rec.Session), Chain: prefix.Chain(class.Model, prompt),
-		Tokens: prefix.Tokens(prompt), Priority: rec.Priority, Target: class.Target,
-		Recompute: class.Recompute, Hall: r.Hall, Draw: r.random(), Prefer: rec.Endpoint(), Limits: r.limits,
+		Tokens: prefix.Tokens(prompt), Priority: rec.Priority, LatencyTarget: class.LatencyTarget,
+		RecomputePenalty: class.RecomputePrice, Hall: r.Hall, Random: r.random(), Prefer: rec.Endpoint(), Limits: r.limits,
 	}
 }
 
@@ -62,7 +62,7 @@
 			req = r.routeRequest(rec, class)
 		}
 		if err == nil {
-			req.Draw = r.random()
+			req.Random = r.random()
 			before := rec.Position()
 			err = r.runOnce(ctx, a, pool, req)
 			if err == nil || errors.Is(err, errHandedOver) {
@@ -100,9 +100,9 @@
 	case rec.Position() > 0:
 		run = fault.Ran
 	case !rec.Sent():
-		run = notRunIf(rec.Fresh)
+		run = notRunIf(rec.GeneratedID)
 	}
-	return fault.New(fault.StepDispatch, "", fault.KindTimeout, run, "the deadline passed").Retry(r.Clock.Now())
+	return fault.New(fault.StepDispatch, "", fault.KindTimeout, run, "the deadline passed").WithRetryAt(r.Clock.Now())
 }
 
 // runOnce runs a model call at one endpoint, from the record's position on, until its answer is
@@ -131,7 +131,7 @@
 	}
 	from := rec.Position()
 	if from > 0 && rec.Endpoint() != e.ID {
-		r.event(event.RequestResumed, zap.String("request", rec.ID), zap.String("endpoint", e.ID), zap.Int("position", from))
+		r.event(event.StreamResumed, zap.String("request", rec.ID), zap.String("endpoint", e.ID), zap.Int("position", from))
 	}
 	rec.SetEndpoint(e.ID)
 	rec.MarkSent()
@@ -171,18 +171,18 @@
 // gets no more requests than that.
 func (r *Relay) Observer(e *route.Endpoint) endpoint.Observe {
 	sent := r.Clock.Now()
-	return func(n endpoint.Statement) {
+	return func(n endpoint.Signals) {
 		now := r.Clock.Now()
 		r.limits.Observe(e.Key, n.RateLimit, sent, now)
 		if n.Leaving {
-			r.Control.Send(r.ctx, control.Refused{Endpoint: e})
+			r.Control.Send(r.ctx, control.EndpointReportedLeaving{Endpoint: e})
 		}
-		if n.RestFor <= 0 {
+		if n.Backoff <= 0 {
 			return
 		}
-		until := now.Add(n.RestFor)
-		if e.RestUntil(until, now) {
-			r.event(event.EndpointAsksRest, zap.String("endpoint", e.ID), zap.Duration("rest", n.RestFor), zap.Time("until", until))
+		until := now.Add(n.Backoff)
+		if e.PauseUntil(until, now) {
+			r.event(event.EndpointBackOff, zap.String("endpoint", e.ID), zap.Duration("rest", n.Backoff), zap.Time("until", until))
 		}
 	}
 }
@@ -224,7 +224,7 @@
 		}
 		if c.Text != "" {
 			if c.Index == 0 {
-				r.Metrics.FirstToken(rec.Class, r.Clock.Since(rec.Arrived))
+				r.Metrics.FirstToken(rec.Class, r.Clock.Since(rec.ArrivedAt))
 			}
 			if err := rec.Append(c.Index, c.Text); err != nil {
 				r.logInvariantBroken("tokens are appended in order and never change: "+err.Error(), rec)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -91,7 +91,7 @@
 	wait   sync.WaitGroup
 
 	keeperMu sync.Mutex
-	keeper   *claim.Keeper // guarded by keeperMu
+	keeper   *claim.Replica // guarded by keeperMu
 
 	installedAt time.Time // when the keeper's view was installed; guarded by keeperMu
 
@@ -127,7 +127,7 @@
 
 func New(o Options) *Relay {
 	r := &Relay{
-		Options: o, store: record.NewStore(), keeper: claim.NewKeeper(o.Self),
+		Options: o, store: record.NewStore(), keeper: claim.NewReplica(o.Self),
 		rnd:  rand.New(rand.NewPCG(o.Seed, 0x5bd1e995)),
 		runs: make(map[string]*run), updated: make(map[*record.Record]struct{}),
 		retries: make(map[string]*retryBudget), suspects: newSuspects(),
@@ -201,15 +201,15 @@
 	}
 	s := r.snapshot()
 	if s.Leaving || r.draining.Load() {
-		return fault.New(fault.StepAdmit, "", fault.KindRefused, notRunIf(req.Fresh), "this instance is leaving; use another one").Retry(now)
+		return fault.New(fault.StepAdmit, "", fault.KindRefused, notRunIf(req.GeneratedID), "this instance is leaving; use another one").WithRetryAt(now)
 	}
-	if r.store.Len() >= s.Table.System.Records {
-		return fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(req.Fresh), "the limit of stored requests is reached").Retry(now.Add(retryAfter))
+	if r.store.Len() >= s.Table.System.RecordCapacity {
+		return fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(req.GeneratedID), "the limit of stored requests is reached").WithRetryAt(now.Add(retryAfter))
 	}
 	if !now.Before(req.Deadline) {
-		return fault.New(fault.StepAdmit, "", fault.KindTimeout, notRunIf(req.Fresh), "the deadline has passed")
+		return fault.New(fault.StepAdmit, "", fault.KindTimeout, notRunIf(req.GeneratedID), "the deadline has passed")
 	}
-	if !req.Fresh && req.Repeatable { // for other requests, the claim finds earlier attempts
+	if !req.GeneratedID && req.Repeatable { // for other requests, the claim finds earlier attempts
 		if where, ok := r.locate(ctx, req.ID); ok {
 			return checkSameRequest(where.digest, req)
 		}
@@ -266,15 +266,15 @@
 	req := r.routeRequest(rec, class)
 	d, ok := r.routingPolicy(r.snapshot().Table.System.Policy).Choose(pool, req, now)
 	if !ok {
-		return nil, fault.New(fault.StepRoute, "", fault.KindRefused, notRunIf(rec.Fresh), "no endpoint serves the model").Retry(now.Add(retryAfter))
+		return nil, fault.New(fault.StepRoute, "", fault.KindRefused, notRunIf(rec.GeneratedID), "no endpoint serves the model").WithRetryAt(now.Add(retryAfter))
 	}
 	if wait, late := shed(rec, class, d); late {
-		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.Fresh), "the answer would start later than the target of its class allows").Retry(now.Add(max(wait, retryAfter)))
+		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.GeneratedID), "the answer would start later than the target of its class allows").WithRetryAt(now.Add(max(wait, retryAfter)))
 	}
-	end := now.Add(d.FirstToken + time.Duration(rec.MaxTokens)*d.Endpoint.Load().Step)
+	end := now.Add(d.FirstToken + time.Duration(rec.MaxTokens)*d.Endpoint.Load().TokenInterval)
 	if end.After(rec.Deadline) {
 		wait := min(end.Sub(rec.Deadline), time.Minute)
-		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.Fresh), "the answer would not be complete by its deadline").Retry(now.Add(max(wait, retryAfter)))
+		return nil, fault.New(fault.StepAdmit, "", fault.KindLimit, notRunIf(rec.GeneratedID), "the answer would not be complete by its deadline").WithRetryAt(now.Add(max(wait, retryAfter)))
 	}
 	return req, nil
 }
@@ -290,16 +290,16 @@
 	if class.MayBeLate {
 		return 0, false
 	}
-	limit := class.Target
+	limit := class.LatencyTarget
 	if rec.OverShare {
-		limit = time.Duration(overShareWaitFraction * float64(class.Target))
+		limit = time.Duration(overShareWaitFraction * float64(class.LatencyTarget))
 	}
 	// The time to compute the call's own prompt is not queueing and does not shrink by retrying later.
-	wait := d.FirstToken - time.Duration(d.Uncached)*d.Endpoint.Load().PerToken
-	if d.FirstToken <= class.Target && wait <= limit {
+	wait := d.FirstToken - time.Duration(d.Uncached)*d.Endpoint.Load().PromptTokenTime
+	if d.FirstToken <= class.LatencyTarget && wait <= limit {
 		return 0, false
 	}
-	return max(d.FirstToken-class.Target, wait-limit), wait > d.Endpoint.Load().Step
+	return max(d.FirstToken-class.LatencyTarget, wait-limit), wait > d.Endpoint.Load().TokenInterval
 }
 
 // notRunIf returns NotRun if the request's id was made by the system, so that no earlier attempt can
@@ -333,9 +333,9 @@
 }
 
 func (r *Relay) class(rec *record.Record) (*table.Class, error) {
-	c, ok := r.snapshot().Table.ClassNamed(rec.Class)
+	c, ok := r.snapshot().Table.ClassByName(rec.Class)
 	if !ok {
-		return nil, fault.New(fault.StepRoute, "", fault.KindNotFound, notRunIf(rec.Fresh && !rec.Sent()), "class %s is no longer in the table", rec.Class)
+		return nil, fault.New(fault.StepRoute, "", fault.KindNotFound, notRunIf(rec.GeneratedID && !rec.Sent()), "class %s is no longer in the table", rec.Class)
 	}
 	return c, nil
 }
--- a/internal/relay/service.go
+++ b/internal/relay/service.go
@@ -32,7 +32,7 @@
 	name, path := splitTarget(rec.Target)
 	req := &route.Request{Hall: r.Hall, Priority: rec.Priority, Limits: r.limits}
 	for {
-		req.Draw = r.random()
+		req.Random = r.random()
 		err := r.callOnce(ctx, rec, name, path, req)
 		if err == nil {
 			return
@@ -48,7 +48,7 @@
 			r.fail(rec, f)
 			return
 		case !budget.takeRetry():
-			r.fail(rec, f.Retry(r.Clock.Now().Add(retryAfter)))
+			r.fail(rec, f.WithRetryAt(r.Clock.Now().Add(retryAfter)))
 			return
 		}
 		select {
@@ -101,7 +101,7 @@
 	}
 	rec.MarkSent()
 	e.Succeeded(r.Clock.Since(now))
-	r.Metrics.Service(rec.Class, r.Clock.Since(rec.Arrived))
+	r.Metrics.Service(rec.Class, r.Clock.Since(rec.ArrivedAt))
 	r.finish(rec, record.Result{Status: ans.Status, ContentType: ans.ContentType, Body: ans.Body})
 	return nil
 }
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -38,7 +38,7 @@
 
 func newSuspects() *suspects {
 	return &suspects{
-		table: quarantine.New(quarantine.Options{Length: quarantineDuration, Most: maxSuspects}),
+		table: quarantine.New(quarantine.Options{Length: quarantineDuration, MaxSuspects: maxSuspects}),
 		ends:  make(map[string]int),
 	}
 }
@@ -83,7 +83,7 @@
 // maybeSuspect reports whether a request may be a suspect, by its length alone: computing the fingerprint
 // of a long body is expensive.
 func (s *suspects) maybeSuspect(rec *record.Record) bool {
-	return s.table.Knows(quarantine.Length("model", rec.Class, "", rec.Body))
+	return s.table.MaybeSuspect(quarantine.Length("model", rec.Class, "", rec.Body))
 }
 
 // checkQuarantine returns an error if a request is quarantined and may not run now, else nil.
@@ -97,9 +97,9 @@
 	}
 	run := fault.MayHaveRun
 	if !rec.Sent() {
-		run = notRunIf(rec.Fresh)
+		run = notRunIf(rec.GeneratedID)
 	}
-	return fault.New(fault.StepDispatch, "", fault.KindRefused, run, "quarantined: endpoints ended while they ran this request").Retry(until)
+	return fault.New(fault.StepDispatch, "", fault.KindRefused, run, "quarantined: endpoints ended while they ran this request").WithRetryAt(until)
 }
 
 // recordRun records how the run of a request at an incarnation of an endpoint ended, for the detection of
@@ -114,7 +114,7 @@
 		r.endpointEnded(e, incarnation)
 	case fault.As(err).Kind == fault.KindBroken:
 		run := quarantine.Run{Fingerprint: fingerprint(rec), Endpoint: incarnation, Name: e.ID, Account: rec.Account}
-		r.broadcastSuspects(r.suspects.table.Broke(run, r.Clock.Now()))
+		r.broadcastSuspects(r.suspects.table.RunInterrupted(run, r.Clock.Now()))
 		if r.hasEnded(ctx, e) {
 			r.endpointEnded(e, incarnation)
 		}
@@ -139,7 +139,7 @@
 // runCompleted records that an endpoint answered a request completely, which clears a suspect.
 func (r *Relay) runCompleted(rec *record.Record, incarnation string) {
 	if r.suspects.maybeSuspect(rec) {
-		r.broadcastSuspects(r.suspects.table.CameThrough(fingerprint(rec), incarnation, r.Clock.Now()))
+		r.broadcastSuspects(r.suspects.table.ClearSuspect(fingerprint(rec), incarnation, r.Clock.Now()))
 	}
 }
 
@@ -150,11 +150,11 @@
 		f := zap.Stringer("fingerprint", c.Suspect.Fingerprint)
 		switch c.Kind {
 		case quarantine.EndSeen:
-			r.event(event.EndedUnder, f, zap.String("server", c.Endpoint), zap.Int("ends", len(c.Suspect.Ends)))
+			r.event(event.EndpointEndedDuringRequest, f, zap.String("server", c.Endpoint), zap.Int("ends", len(c.Suspect.Ends)))
 		case quarantine.Quarantined:
-			r.event(event.Quarantined, f, zap.Time("until", c.Suspect.Until), zap.Int("strikes", c.Suspect.Strikes))
+			r.event(event.Quarantined, f, zap.Time("until", c.Suspect.QuarantinedUntil), zap.Int("strikes", c.Suspect.Strikes))
 		case quarantine.Released:
-			r.event(event.QuarantineOver, f, zap.String("server", c.Endpoint))
+			r.event(event.SuspicionCleared, f, zap.String("server", c.Endpoint))
 		}
 	}
 	own, received := r.suspects.table.Updates()
--- a/internal/relay/upkeep.go
+++ b/internal/relay/upkeep.go
@@ -58,7 +58,7 @@
 	updates := make(map[string][]*peerpb.Update)
 	sent := make(map[string][]sentUpdate)
 	for rec := range records {
-		n, any := rec.Unreported()
+		n, any := rec.PendingUpdate()
 		holder := rec.Holder()
 		if !any || holder == "" || rec.Owner() != r.Self {
 			continue
@@ -80,7 +80,7 @@
 	defer cancel()
 	_, err := r.Peers.Call(ctx, m.Addr, &peerpb.Call{Body: &peerpb.Call_Progress{Progress: &peerpb.Progress{Updates: updates}}})
 	for _, s := range sent {
-		if err != nil || s.rec.Reported(holder, s.update) {
+		if err != nil || s.rec.Acknowledge(holder, s.update) {
 			r.markUpdated(s.rec)
 		}
 	}
@@ -115,7 +115,7 @@
 // ApplyEffect handles the effects of the control loop that concern requests.
 func (r *Relay) ApplyEffect(e control.Effect) {
 	switch e := e.(type) {
-	case control.ViewInForce:
+	case control.ViewActivated:
 		r.InstallView(e.View)
 	case control.MemberChanged:
 		r.memberChanged(e.Change)
@@ -132,7 +132,7 @@
 func (r *Relay) memberChanged(c member.Change) {
 	m := c.Member
 	if m.State == member.Dead && !r.Switches.NoTakeOver {
-		for _, rec := range r.store.All(func(rec *record.Record) bool { return rec.Owner() == m.ID && rec.Repeatable && !rec.Done() }) {
+		for _, rec := range r.store.Filter(func(rec *record.Record) bool { return rec.Owner() == m.ID && rec.Repeatable && !rec.Done() }) {
 			if !rec.TakeOver(m.ID, r.Self) {
 				continue
 			}
@@ -143,7 +143,7 @@
 	if m.State != member.Dead && !m.Leaving {
 		return
 	}
-	held := r.store.All(func(rec *record.Record) bool {
+	held := r.store.Filter(func(rec *record.Record) bool {
 		return rec.Owner() == r.Self && rec.Holder() == m.ID && rec.Repeatable && !rec.Fetched()
 	})
 	for _, rec := range held {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOnlyWhatBelongedToANameMoves(t *testing.T) {
+func TestRemovingANameMovesOnlyItsKeys(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e"}
 	count := make(map[string]int)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -10,7 +10,7 @@
 import "time"
 
 // Limits is the retry budget of all instances together, for any window.
-type Terms struct {
+type Limits struct {
 	Ratio  float64       // retries per request
 	Slack  float64       // further retries per window
 	Window time.Duration // length of the window that the slack is for
@@ -31,17 +31,17 @@
 }
 
 // slackPart returns the part of the slack that an instance may accumulate.
-func (t Terms) slackPart(instances int) float64 {
+func (t Limits) slackPart(instances int) float64 {
 	return slackFraction * t.Slack / float64(max(1, instances))
 }
 
 // maxLevel returns the maximum level of an instance: its part of the slack and what it accumulated
 // from requests. The latter is limited because it adds up over many instances.
-func (t Terms) maxLevel(instances int) float64 {
+func (t Limits) maxLevel(instances int) float64 {
 	return t.slackPart(instances) + min(t.Ratio, maxSavedFraction*t.Slack/float64(max(1, instances)))
 }
 
-func (b *Budget) refill(t Terms, instances int, now time.Time) {
+func (b *Budget) refill(t Limits, instances int, now time.Time) {
 	part := t.slackPart(instances)
 	if b.at.IsZero() {
 		b.level = part
@@ -53,7 +53,7 @@
 }
 
 // RecordRequest adds the share of a request's first attempt to the budget.
-func (b *Budget) Sent(t Terms, instances int, now time.Time) {
+func (b *Budget) RecordRequest(t Limits, instances int, now time.Time) {
 	b.refill(t, instances, now)
 	b.level = min(b.level+ratioFraction*t.Ratio, t.maxLevel(instances))
 }
@@ -62,7 +62,7 @@
 // from 0 to 1: an instance of a large fleet never accumulates a whole retry, so it may overdraw
 // its budget with a probability equal to the fraction that it has. Without this, no failed request
 // was retried in a fleet of 295 instances.
-func (b *Budget) Take(t Terms, instances int, draw float64, now time.Time) bool {
+func (b *Budget) Take(t Limits, instances int, draw float64, now time.Time) bool {
 	b.refill(t, instances, now)
 	if b.level <= draw {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -10,9 +10,9 @@
 
 // For any distribution of requests and failures over the instances, no window has more retries
 // than the limits allow all instances together.
-func TestTheBudgetOfAllNodesHolds(t *testing.T) {
+func TestTheBudgetOfAllInstancesHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Terms{Ratio: 0.2, Slack: rapid.Float64Range(56, 630).Draw(t, "slack"), Window: 10 * time.Second}
+		limits := Limits{Ratio: 0.2, Slack: rapid.Float64Range(56, 630).Draw(t, "slack"), Window: 10 * time.Second}
 		instances := rapid.IntRange(1, 400).Draw(t, "instances")
 		rate := rapid.Float64Range(0, 200).Draw(t, "requests a second")
 		failing := rapid.Float64Range(0, 1).Draw(t, "share that fails")
@@ -26,7 +26,7 @@
 			f, s := 0, 0
 			for asked := rate * step.Seconds(); asked > rnd.Float64(); asked-- {
 				b := &budgets[rnd.IntN(instances)]
-				b.Sent(limits, instances, now)
+				b.RecordRequest(limits, instances, now)
 				f++
 				for range 3 { // several attempts of one request
 					if rnd.Float64() < failing && b.Take(limits, instances, rnd.Float64(), now) {
@@ -53,8 +53,8 @@
 
 // One request in seven fails at its first attempt. In a large fleet each instance sees few of them,
 // and its part of the slack is less than one retry; most of them are retried nevertheless.
-func TestSecondTriesInALargeFleet(t *testing.T) {
-	limits := Terms{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
+func TestRetriesInALargeFleet(t *testing.T) {
+	limits := Limits{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
 	for instances, least := range map[int]float64{8: 0.95, 83: 0.95, 295: 0.7, 1000: 0.3} {
 		rnd := rand.New(rand.NewPCG(1, uint64(instances)))
 		budgets := make([]Budget, instances)
@@ -63,7 +63,7 @@
 		for range 6000 {
 			now = now.Add(4 * time.Millisecond)
 			b := &budgets[rnd.IntN(instances)]
-			b.Sent(limits, instances, now)
+			b.RecordRequest(limits, instances, now)
 			if rnd.Float64() > 1.0/7 {
 				continue
 			}
--- a/internal/rollctl/exchange.go
+++ b/internal/rollctl/exchange.go
@@ -38,7 +38,7 @@
 
 // ApplyPermit applies a permit received at the time now, or issued by this instance as the leader.
 // It ignores a permit of another order and one that is not newer than the last.
-func (c *Control) Permitted(p Permit, now time.Time) {
+func (c *Control) ApplyPermit(p Permit, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.services[p.Service]
@@ -119,7 +119,7 @@
 }
 
 // OwnCounts returns a copy of this instance's own counts.
-func (c *Control) Own() rollout.Counts {
+func (c *Control) OwnCounts() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.own)
@@ -129,25 +129,25 @@
 func (c *Control) OfferTo(hub tally.Source) rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.Offer(hub, c.own)
+	return c.ledger.TotalsFor(hub, c.own)
 }
 
 // Confirmed records that a hub has received the counts of an offer.
 func (c *Control) Confirmed(hub tally.Source, offer rollout.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.Confirmed(hub, offer)
+	c.ledger.Acknowledge(hub, offer)
 }
 
 // ApplyReport records, at a hub, the counts that an instance of its group reports.
-func (c *Control) Reported(from tally.Source, counts rollout.Counts) {
+func (c *Control) ApplyReport(from tally.Source, counts rollout.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reported.Take(from, counts)
+	c.reported.Apply(from, counts)
 }
 
 // GroupCounts returns, at a hub, the counts of its group, which includes the hub itself.
-func (c *Control) Group() rollout.Counts {
+func (c *Control) GroupCounts() rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.groupLocked()
@@ -156,8 +156,8 @@
 // groupLocked is GroupCounts for a caller that holds mu. This instance's own counts are treated as
 // an offer to itself, so that counts which other hubs have confirmed are not counted twice.
 func (c *Control) groupLocked() rollout.Counts {
-	sum := c.ledger.Offer(c.self, c.own)
-	c.ledger.Confirmed(c.self, sum) // copies sum, which is changed below
+	sum := c.ledger.TotalsFor(c.self, c.own)
+	c.ledger.Acknowledge(c.self, sum) // copies sum, which is changed below
 	for key, n := range c.reported.Sum() {
 		sum[key] += n
 	}
@@ -166,7 +166,7 @@
 
 // ApplyCounts records the counts that another instance shares: its own, or as a hub those of its
 // group or of all instances. Empty counts are ignored.
-func (c *Control) Apply(aggregation Fleet, from tally.Source, counts rollout.Counts) {
+func (c *Control) ApplyCounts(aggregation Aggregation, from tally.Source, counts rollout.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(counts) == 0 {
@@ -177,22 +177,22 @@
 
 // countSource identifies who shared counts, and in which aggregation.
 type countSource struct {
-	aggregation Fleet
+	aggregation Aggregation
 	from        tally.Source
 }
 
 // Aggregation is how the counts of all instances are summed at an instance.
-type Fleet int
+type Aggregation int
 
 // The aggregations.
 const (
-	Peers  Fleet = iota // every instance shares its counts with every other one
-	AsHub               // instances report to hubs, which share the sums of their groups; this instance is a hub
-	ByHubs              // the same, but this instance is not a hub and gets the sum of all groups from its hub
+	AllToAll   Aggregation = iota // every instance shares its counts with every other one
+	AtHub                         // instances report to hubs, which share the sums of their groups; this instance is a hub
+	ThroughHub                    // the same, but this instance is not a hub and gets the sum of all groups from its hub
 )
 
 // TotalCounts returns the counts of all instances for an order of a service.
-func (c *Control) TotalCounts(aggregation Fleet, serviceName string, order store.Revision) rollout.Counts {
+func (c *Control) TotalCounts(aggregation Aggregation, serviceName string, order store.Revision) rollout.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(rollout.Counts)
@@ -204,9 +204,9 @@
 		}
 	}
 	switch aggregation {
-	case Peers:
+	case AllToAll:
 		add(c.own)
-	case AsHub:
+	case AtHub:
 		add(c.groupLocked())
 	}
 	for source, counts := range c.peerCounts {
@@ -223,7 +223,7 @@
 	defer c.mu.Unlock()
 	sum := c.groupLocked()
 	for source, counts := range c.peerCounts {
-		if source.aggregation != AsHub {
+		if source.aggregation != AtHub {
 			continue
 		}
 		for key, n := range counts {
--- a/internal/rollctl/lead.go
+++ b/internal/rollctl/lead.go
@@ -22,7 +22,7 @@
 )
 
 // ServiceRollout is what an instance knows of one service's roll-out.
-type Known struct {
+type ServiceRollout struct {
 	Order    *rollout.Order  // newest, nil if none is known
 	Record   *rollout.Record // newest, nil if none is known
 	Revision store.Revision  // of the record in the store, 0 if the store has none
@@ -37,14 +37,14 @@
 	// Acting returns a context that ends before this instance must stop acting as the holder of
 	// the duty, and its token. The last result is false if it is not the holder.
 	Acting(ctx context.Context) (context.Context, context.CancelFunc, duty.Token, bool)
-	Day(now time.Time) time.Time                                   // the wall-clock time at now
-	Rollouts() []Known                                             // of all services that have one
+	WallTime(now time.Time) time.Time                              // the wall-clock time at now
+	Rollouts() []ServiceRollout                                    // of all services that have one
 	Instances() int                                                // number of running instances, including this one
-	Fleet() Fleet                                                  // how the counts of all instances are summed here
-	Open() map[string]int                                          // number of this instance's open requests, by endpoint
+	Aggregation() Aggregation                                      // how the counts of all instances are summed here
+	OpenRequests() map[string]int                                  // number of this instance's open requests, by endpoint
 	DutyKey() string                                               // key of the duty in the store
 	RecordKey(service string) string                               // key of a service's record in the store
-	Wrote(r rollout.Record, at store.Revision)                     // called when a record was written at a revision
+	RecordWritten(r rollout.Record, at store.Revision)             // called when a record was written at a revision
 	Status(r rollout.Record) (key string, value []byte, err error) // status for operators, to be written to the store
 	Event(c event.Code, fields ...zap.Field)                       // logs an event
 }
@@ -95,14 +95,14 @@
 	}
 	for _, k := range l.Host.Rollouts() {
 		if err := l.advance(call, token, k, l.Control.clock.Now()); err != nil {
-			l.Host.Event(event.RolloutNotWritten, zap.Int64("fence", int64(token.Fence)), zap.Error(err))
+			l.Host.Event(event.RolloutWriteFailed, zap.Int64("fence", int64(token.Fence)), zap.Error(err))
 		}
 	}
 }
 
 // advance evaluates one roll-out, and writes its next record or renews its permit.
-func (l *Leader) advance(ctx context.Context, token duty.Token, k Known, now time.Time) error {
-	wall := l.Host.Day(now)
+func (l *Leader) advance(ctx context.Context, token duty.Token, k ServiceRollout, now time.Time) error {
+	wall := l.Host.WallTime(now)
 	if k.Order != nil && (k.Record == nil || !k.Record.Covers(*k.Order)) {
 		return l.write(ctx, token, k, rollout.Begin(*k.Order, k.Record, wall), rollout.Verdict{})
 	}
@@ -120,7 +120,7 @@
 	observation := l.observe(s, r, k, now)
 	s.evaluations++
 	if s.evaluations%evaluationsPerLog == 0 {
-		l.logDecision(event.RolloutLooked, r, observation.Verdict, zap.Int64("open_on_old", int64(observation.OpenOnReplaced)), zap.Bool("following", observation.AllFollow))
+		l.logDecision(event.RolloutFigures, r, observation.Verdict, zap.Int64("open_on_old", int64(observation.OpenOnReplaced)), zap.Bool("following", observation.AllFollow))
 	}
 	next, changed := rollout.Next(r, observation)
 	if !changed {
@@ -134,7 +134,7 @@
 // whether one has to be. It has to be if the store lost it. It also has to be if the roll-out is
 // over and the record has the order's revision of an earlier era, because a later order for the same
 // target could then not be distinguished from its own.
-func recordToRewrite(k Known) (rollout.Record, bool) {
+func recordToRewrite(k ServiceRollout) (rollout.Record, bool) {
 	r := *k.Record
 	if k.Settled && k.Order != nil && r.Phase.Final() && r.Order < k.Order.Revision {
 		r.Order = k.Order.Revision
@@ -160,20 +160,20 @@
 		return
 	}
 	s.permitNumber = max(s.permitNumber+1, now.UnixNano())
-	l.Control.Permitted(Permit{Service: r.Service, Order: r.Order, Number: s.permitNumber}, now)
+	l.Control.ApplyPermit(Permit{Service: r.Service, Order: r.Order, Number: s.permitNumber}, now)
 }
 
 // observe sums what all instances report of a roll-out.
-func (l *Leader) observe(s *ledRollout, r rollout.Record, k Known, now time.Time) rollout.Observation {
+func (l *Leader) observe(s *ledRollout, r rollout.Record, k ServiceRollout, now time.Time) rollout.Observation {
 	if r.Phase == rollout.Shift {
 		s.judge.FreezeBaseline()
 	}
 	out := rollout.Observation{
-		Now: l.Host.Day(now), Targets: k.Targets, Others: k.Others,
-		Verdict: s.judge.Evaluate(l.Control.TotalCounts(l.Host.Fleet(), r.Service, r.Order)),
+		Now: l.Host.WallTime(now), Targets: k.Targets, Others: k.Others,
+		Verdict: s.judge.Evaluate(l.Control.TotalCounts(l.Host.Aggregation(), r.Service, r.Order)),
 	}
 	following := int64(0)
-	for _, state := range l.Control.AllStates(l.Control.States(l.Host.Open()), now) {
+	for _, state := range l.Control.AllStates(l.Control.States(l.Host.OpenRequests()), now) {
 		if state.Service != r.Service {
 			continue
 		}
@@ -196,7 +196,7 @@
 
 // write writes a record to the store, with its status for operators, if this instance still holds
 // the duty and nobody else has written the record meanwhile.
-func (l *Leader) write(ctx context.Context, token duty.Token, k Known, r rollout.Record, v rollout.Verdict) error {
+func (l *Leader) write(ctx context.Context, token duty.Token, k ServiceRollout, r rollout.Record, v rollout.Verdict) error {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("encode the roll-out record of service %s: %w", r.Service, err)
@@ -216,8 +216,8 @@
 	if err != nil {
 		return fmt.Errorf("write the roll-out record of service %s: %w", r.Service, err)
 	}
-	l.logDecision(event.RolloutLed, r, v, zap.Inline(at), zap.Int64("fence", int64(token.Fence)))
-	l.Host.Wrote(r, at)
+	l.logDecision(event.RolloutPhaseWritten, r, v, zap.Inline(at), zap.Int64("fence", int64(token.Fence)))
+	l.Host.RecordWritten(r, at)
 	return nil
 }
 
--- a/internal/rollctl/rollctl.go
+++ b/internal/rollctl/rollctl.go
@@ -35,13 +35,13 @@
 	self  tally.Source
 
 	mu         sync.Mutex
-	random     *rand.Rand                        // guarded by mu
-	services   map[string]*service               // guarded by mu
-	own        rollout.Counts                    // counted by this instance; guarded by mu
-	ledger     *tally.Ledger[rollout.Key, int64] // which part of own each hub has confirmed; guarded by mu
-	reported   *tally.Pool[rollout.Key, int64]   // counts that other instances reported to this one as their hub; guarded by mu
-	peerCounts map[countSource]rollout.Counts    // counts shared by other instances, or by hubs for their groups; guarded by mu
-	states     map[string]peerStates             // states shared by other instances, or by hubs for their groups, by name; guarded by mu
+	random     *rand.Rand                            // guarded by mu
+	services   map[string]*service                   // guarded by mu
+	own        rollout.Counts                        // counted by this instance; guarded by mu
+	ledger     *tally.Reporter[rollout.Key, int64]   // which part of own each hub has confirmed; guarded by mu
+	reported   *tally.Aggregator[rollout.Key, int64] // counts that other instances reported to this one as their hub; guarded by mu
+	peerCounts map[countSource]rollout.Counts        // counts shared by other instances, or by hubs for their groups; guarded by mu
+	states     map[string]peerStates                 // states shared by other instances, or by hubs for their groups, by name; guarded by mu
 }
 
 // service is an instance's state of the roll-out of one service.
@@ -58,7 +58,7 @@
 func New(bound rollout.Bound, self tally.Source, random *rand.Rand, c *clock.Clock) *Control {
 	return &Control{
 		clock: c, bound: bound, self: self, random: random, services: make(map[string]*service), own: make(rollout.Counts),
-		ledger: tally.NewLedger[rollout.Key, int64](), reported: tally.NewPool[rollout.Key, int64](),
+		ledger: tally.NewReporter[rollout.Key, int64](), reported: tally.NewAggregator[rollout.Key, int64](),
 		peerCounts: make(map[countSource]rollout.Counts), states: make(map[string]peerStates),
 	}
 }
@@ -69,7 +69,7 @@
 // SetRollout sets the record of a service's roll-out and how it divides the endpoints. instances is
 // the number of instances of the fleet, startedBefore whether this one started before the order.
 // SetRollout reports whether the order or the phase is new.
-func (c *Control) Follow(r rollout.Record, arms rollout.Arms, instances int, startedBefore bool) bool {
+func (c *Control) SetRollout(r rollout.Record, arms rollout.Arms, instances int, startedBefore bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(r.Service)
@@ -90,8 +90,8 @@
 	for _, counts := range c.peerCounts {
 		maps.DeleteFunc(counts, drop)
 	}
-	c.ledger.Drop(obsolete)
-	c.reported.Drop(obsolete)
+	c.ledger.DropKeys(obsolete)
+	c.reported.DropKeys(obsolete)
 }
 
 // service returns the state of a service, and creates it if there is none. The caller holds mu.
@@ -106,7 +106,7 @@
 
 // AdmitTrial reports whether a request may go to the version on trial, and counts it against the
 // exposure if so. Only first attempts may: a request that failed once goes to the old version.
-func (c *Control) Try(r *balance.Request, now time.Time) bool {
+func (c *Control) AdmitTrial(r *balance.Request, now time.Time) bool {
 	if !c.Enabled() || len(r.Avoid) > 0 {
 		return false
 	}
@@ -121,7 +121,7 @@
 }
 
 // Observe counts the outcome of a request at the endpoint that was chosen for it.
-func (c *Control) Watch(k *balance.Ticket, r *balance.Request, now time.Time) {
+func (c *Control) Observe(k *balance.Ticket, r *balance.Request, now time.Time) {
 	if c.Enabled() {
 		k.Observe(&requestObserver{control: c, ticket: k, route: r.Route, promptTokens: r.Tokens, service: r.Service, sent: now})
 	}
@@ -139,15 +139,15 @@
 	started      bool
 }
 
-// Read implements balance.Observer.
-func (w *requestObserver) Read() {
+// PromptRead implements balance.Observer.
+func (w *requestObserver) PromptRead() {
 	w.started, w.timeToFirst = true, w.control.clock.Since(w.sent)
 	w.control.countStart(w)
 }
 
 // Done implements balance.Observer.
 func (w *requestObserver) Done(result balance.Result) {
-	if !w.ticket.Arrived() {
+	if !w.ticket.Reached() {
 		return // the endpoint did not receive the request
 	}
 	if !w.started {
@@ -163,7 +163,7 @@
 // outcome returns the outcome of the request, which ended with result.
 func (w *requestObserver) outcome(result balance.Result) rollout.Outcome {
 	return rollout.Outcome{
-		Route: w.route, PromptTokens: w.promptTokens, TimeToFirst: w.timeToFirst, Started: w.started, EventInterval: w.ticket.PerEvent(),
+		Route: w.route, PromptTokens: w.promptTokens, TimeToFirst: w.timeToFirst, Started: w.started, EventInterval: w.ticket.EventInterval(),
 		Conclusive: result == balance.Answered || result == balance.Failed, Failed: result == balance.Failed,
 	}
 }
--- a/internal/rollctl/rollctl_test.go
+++ b/internal/rollctl/rollctl_test.go
@@ -18,7 +18,7 @@
 // onTrial returns a control with a service on trial, and a request to the service.
 func onTrial() (*Control, *balance.Request) {
 	c := New(rollout.Bound{Share: 0.1, Slack: 50}, tally.Source{Instance: "a", Incarnation: 1}, rand.New(rand.NewPCG(1, 1)), nil)
-	c.Follow(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.Trial}, rollout.Arms{Replaced: map[string]bool{"old": true}}, 1, true)
+	c.SetRollout(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.Trial}, rollout.Arms{Replaced: map[string]bool{"old": true}}, 1, true)
 	return c, &balance.Request{Service: "s", Route: "r", ID: "1"}
 }
 
@@ -26,8 +26,8 @@
 func serve(c *Control, r *balance.Request, version string) {
 	tracker := balance.NewTracker()
 	k, _ := tracker.Pick([]registry.Endpoint{{ID: "e", Service: "s", Version: version}}, r, begin)
-	c.Watch(k, r, begin)
-	k.Arrive()
+	c.Observe(k, r, begin)
+	k.MarkReached()
 	k.Done(balance.Answered, begin)
 }
 
@@ -37,19 +37,19 @@
 	for range 30 {
 		serve(c, r, "v1")
 	}
-	is.True(!c.Try(r, begin)) // no permit yet
-	c.Permitted(Permit{Service: "s", Order: 4, Number: 9}, begin)
-	is.True(!c.Try(r, begin)) // a permit of an earlier order
-	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin)
-	is.True(c.Try(r, begin.Add(permitTTL)))
-	is.True(!c.Try(r, begin.Add(permitTTL+1)))
-	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin.Add(time.Minute))
-	is.True(!c.Try(r, begin.Add(time.Minute))) // the same permit, forwarded late
-	c.Permitted(Permit{Service: "s", Order: 5, Number: 2}, begin.Add(time.Minute))
-	is.True(c.Try(r, begin.Add(time.Minute)))
+	is.True(!c.AdmitTrial(r, begin)) // no permit yet
+	c.ApplyPermit(Permit{Service: "s", Order: 4, Number: 9}, begin)
+	is.True(!c.AdmitTrial(r, begin)) // a permit of an earlier order
+	c.ApplyPermit(Permit{Service: "s", Order: 5, Number: 1}, begin)
+	is.True(c.AdmitTrial(r, begin.Add(permitTTL)))
+	is.True(!c.AdmitTrial(r, begin.Add(permitTTL+1)))
+	c.ApplyPermit(Permit{Service: "s", Order: 5, Number: 1}, begin.Add(time.Minute))
+	is.True(!c.AdmitTrial(r, begin.Add(time.Minute))) // the same permit, forwarded late
+	c.ApplyPermit(Permit{Service: "s", Order: 5, Number: 2}, begin.Add(time.Minute))
+	is.True(c.AdmitTrial(r, begin.Add(time.Minute)))
 	second := *r
 	second.Avoid = []string{"e"}
-	is.True(!c.Try(&second, begin.Add(time.Minute)))
+	is.True(!c.AdmitTrial(&second, begin.Add(time.Minute)))
 }
 
 func TestATrialEndsWithItsPhase(t *testing.T) {
@@ -58,17 +58,17 @@
 	for range 30 {
 		serve(c, r, "v1")
 	}
-	c.Permitted(Permit{Service: "s", Order: 5, Number: 1}, begin)
-	is.True(c.Try(r, begin))
-	c.Follow(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.RolledBack}, rollout.Arms{}, 1, true)
-	is.True(!c.Try(r, begin))
+	c.ApplyPermit(Permit{Service: "s", Order: 5, Number: 1}, begin)
+	is.True(c.AdmitTrial(r, begin))
+	c.SetRollout(rollout.Record{Service: "s", Order: 5, Target: "v2", Phase: rollout.RolledBack}, rollout.Arms{}, 1, true)
+	is.True(!c.AdmitTrial(r, begin))
 }
 
 // Counts are in the total once, whether it is formed at the instance that counted, at its hub, at
 // another hub, or from the sum that the hub sends back.
 func TestCountsOfAllInstancesAreSummedOnce(t *testing.T) {
 	is := is.New(t)
-	begun := rollout.Key{Service: "s", Order: 5, Route: "r", What: rollout.Begun}
+	begun := rollout.Key{Service: "s", Order: 5, Route: "r", Counter: rollout.Started}
 	instance, r := onTrial()
 	for range 7 {
 		serve(instance, r, "v1")
@@ -78,16 +78,16 @@
 	hubSource, from := tally.Source{Instance: "hub", Incarnation: 1}, tally.Source{Instance: "a", Incarnation: 1}
 	for range 3 { // repeated reports must not add to the sums
 		offer := instance.OfferTo(hubSource)
-		hub.Reported(from, offer)
+		hub.ApplyReport(from, offer)
 		instance.Confirmed(hubSource, offer)
-		otherHub.Apply(AsHub, hubSource, hub.Group())
-		instance.Apply(ByHubs, tally.Source{}, hub.AllCounts())
+		otherHub.ApplyCounts(AtHub, hubSource, hub.GroupCounts())
+		instance.ApplyCounts(ThroughHub, tally.Source{}, hub.AllCounts())
 	}
-	is.Equal(hub.TotalCounts(AsHub, "s", 5)[begun], int64(7))
-	is.Equal(otherHub.TotalCounts(AsHub, "s", 5)[begun], int64(7))
-	is.Equal(instance.TotalCounts(ByHubs, "s", 5)[begun], int64(7))
-	is.Equal(instance.TotalCounts(Peers, "s", 5)[begun], int64(7))
-	is.Equal(len(otherHub.TotalCounts(AsHub, "s", 6)), 0)
+	is.Equal(hub.TotalCounts(AtHub, "s", 5)[begun], int64(7))
+	is.Equal(otherHub.TotalCounts(AtHub, "s", 5)[begun], int64(7))
+	is.Equal(instance.TotalCounts(ThroughHub, "s", 5)[begun], int64(7))
+	is.Equal(instance.TotalCounts(AllToAll, "s", 5)[begun], int64(7))
+	is.Equal(len(otherHub.TotalCounts(AtHub, "s", 6)), 0)
 }
 
 // The counts of an order must be dropped when the instance follows a later order.
@@ -95,7 +95,7 @@
 	is := is.New(t)
 	c, r := onTrial()
 	serve(c, r, "v1")
-	is.True(len(c.Own()) > 0)
-	c.Follow(rollout.Record{Service: "s", Order: 8, Target: "v3", Phase: rollout.Trial}, rollout.Arms{}, 1, true)
-	is.Equal(len(c.Own()), 0)
+	is.True(len(c.OwnCounts()) > 0)
+	c.SetRollout(rollout.Record{Service: "s", Order: 8, Target: "v3", Phase: rollout.Trial}, rollout.Arms{}, 1, true)
+	is.Equal(len(c.OwnCounts()), 0)
 }
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -9,15 +9,15 @@
 )
 
 // Counter is what is counted of the requests to a service that is rolled out.
-type What uint8
+type Counter uint8
 
 // The counters. A request that is not answered by a stream starts and ends at the same time.
 const (
-	Begun  What = iota // requests whose first event or answer came, or that ended without one after a slow time
-	Late               // of these, slower than slowFactor times the old version's median
-	Ended              // requests that ended with a conclusive outcome
-	Failed             // of these, failed or cut off by the endpoint
-	Paced              // of these, streams with events slower than slowFactor times the old version's median
+	Started    Counter = iota // requests whose first event or answer came, or that ended without one after a slow time
+	SlowStart                 // of these, slower than slowFactor times the old version's median
+	Ended                     // requests that ended with a conclusive outcome
+	Failed                    // of these, failed or cut off by the endpoint
+	SlowStream                // of these, streams with events slower than slowFactor times the old version's median
 )
 
 // Buckets is the number of groups into which the endpoints of the target are divided for counting.
@@ -31,7 +31,7 @@
 	Route   string
 	Trial   bool  // counted at the version on trial, else at the old one
 	Bucket  uint8 // group of the endpoint; 0 for the old version
-	What    What
+	Counter Counter
 }
 
 // Counts are running totals since the order was first seen.
@@ -131,8 +131,8 @@
 	if !o.Started && !slow {
 		return // it ended too early to be counted as slow
 	}
-	count(c, k, Begun, true)
-	count(c, k, Late, slow)
+	count(c, k, Started, true)
+	count(c, k, SlowStart, slow)
 }
 
 // CountEnd counts the end of a request, if its outcome is conclusive.
@@ -142,13 +142,13 @@
 	}
 	count(c, k, Ended, true)
 	count(c, k, Failed, o.Failed)
-	count(c, k, Paced, o.EventInterval > 0 && t.medianFor(o, true).slow(o.EventInterval))
+	count(c, k, SlowStream, o.EventInterval > 0 && t.medianFor(o, true).slow(o.EventInterval))
 }
 
 // count adds one to a counter of k if the condition holds.
-func count(c Counts, k Key, counter What, condition bool) {
+func count(c Counts, k Key, counter Counter, condition bool) {
 	if condition {
-		k.What = counter
+		k.Counter = counter
 		c[k]++
 	}
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -21,15 +21,15 @@
 
 // indicator is a share of bad requests by which the versions are compared.
 type indicator struct {
-	total, bad   What
+	total, bad   Counter
 	minGoodShare float64 // a share up to this is good whatever the old version's is
 	badMargin    float64 // difference between the share of a bad version and a good one
 }
 
 var indicators = []indicator{
 	{Ended, Failed, 0.02, 0.10},
-	{Begun, Late, 0.10, 0.25},
-	{Ended, Paced, 0.10, 0.25},
+	{Started, SlowStart, 0.10, 0.25},
+	{Ended, SlowStream, 0.10, 0.25},
 }
 
 // Verdict is the result of comparing the version on trial with the old one.
@@ -114,7 +114,7 @@
 		for i, ind := range indicators {
 			for _, route := range []string{"", key.Route} {
 				b := j.baselines[baselineKey{route, i}]
-				switch key.What {
+				switch key.Counter {
 				case ind.total:
 					b.total += n
 				case ind.bad:
@@ -138,7 +138,7 @@
 		for i, ind := range indicators {
 			for _, route := range []string{"", key.Route} {
 				c := cells[cell{route, i, key.Bucket}]
-				switch key.What {
+				switch key.Counter {
 				case ind.total:
 					c.total += n
 				case ind.bad:
@@ -165,8 +165,8 @@
 	var v Verdict
 	for key, n := range total {
 		if key.Trial {
-			switch key.What {
-			case Begun:
+			switch key.Counter {
+			case Started:
 				v.Started += n
 			case Ended:
 				v.Ended += n
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -59,16 +59,16 @@
 				failing += 0.5
 			}
 		}
-		add := func(counter What, n int64) {
-			k.What = counter
+		add := func(counter Counter, n int64) {
+			k.Counter = counter
 			total[k] += n
 		}
 		failed, lateStart, slowStream := flip(random, failing), flip(random, late), flip(random, slow)
-		add(Begun, 1)
-		add(Late, lateStart)
+		add(Started, 1)
+		add(SlowStart, lateStart)
 		add(Ended, 1)
 		add(Failed, failed)
-		add(Paced, slowStream)
+		add(SlowStream, slowStream)
 		if trial {
 			harmed += failed | lateStart | slowStream
 		}
--- a/internal/route/baseline.go
+++ b/internal/route/baseline.go
@@ -30,7 +30,7 @@
 	bestLoad := 0
 	start := 0
 	if p.Size > 0 {
-		start = int(r.Draw % uint64(p.Size))
+		start = int(r.Random % uint64(p.Size))
 	}
 	for i := range p.Size {
 		e := p.at((start + i) % p.Size)
@@ -54,7 +54,7 @@
 
 func (sessionHash) Choose(p *Pool, r *Request, now time.Time) (Decision, bool) {
 	var affine [affinityCount]*Endpoint
-	n := Homes(p, r.Session, affine[:])
+	n := AffinityEndpoints(p, r.Session, affine[:])
 	for _, e := range affine[:n] {
 		if r.eligible(e, now) {
 			return Estimate(e, r, now), true
@@ -69,7 +69,7 @@
 // that accept no calls.
 func chooseIgnoringEjection(p *Pool, r *Request, now time.Time) (Decision, bool) {
 	for i := range p.Size {
-		e := p.at((int(r.Draw%uint64(p.Size)) + i) % p.Size)
+		e := p.at((int(r.Random%uint64(p.Size)) + i) % p.Size)
 		if !avoided(r, e.ID) && r.Accepts(e, now) {
 			return Estimate(e, r, now), true
 		}
@@ -90,7 +90,7 @@
 	var best *Endpoint
 	bestWait := time.Duration(0)
 	for i := range uint64(serviceCandidates) {
-		e := p.at(int(mix(r.Draw, i) % uint64(p.Size)))
+		e := p.at(int(mix(r.Random, i) % uint64(p.Size)))
 		if !r.eligible(e, now) {
 			continue
 		}
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -18,11 +18,11 @@
 
 // Load is a load report of an endpoint.
 type Load struct {
-	At           time.Time       // when the report was requested, on the clock of this instance
-	Running      int             // sequences or calls in progress
-	QueuedTokens [Priorities]int // prompt tokens waiting to be computed, by priority
-	PerToken     time.Duration   // time to compute one prompt token
-	Step         time.Duration   // time between two tokens of a stream at the current batch size
+	At              time.Time       // when the report was requested, on the clock of this instance
+	Running         int             // sequences or calls in progress
+	QueuedTokens    [Priorities]int // prompt tokens waiting to be computed, by priority
+	PromptTokenTime time.Duration   // time to compute one prompt token
+	TokenInterval   time.Duration   // time between two tokens of a stream at the current batch size
 }
 
 // Endpoint is one incarnation of an endpoint, with its load. The exported fields
@@ -56,7 +56,7 @@
 	if blocks > 0 {
 		e.Blocks = prefix.NewIndex(blocks)
 	}
-	e.load.Store(&Load{At: now, PerToken: defaultPerToken, Step: defaultStep})
+	e.load.Store(&Load{At: now, PromptTokenTime: defaultPerToken, TokenInterval: defaultStep})
 	return e
 }
 
@@ -71,7 +71,7 @@
 
 // PendingTokens returns the number of prompt tokens sent and not yet covered by a
 // load report. Read it just before a report is requested and pass it to Report.
-func (e *Endpoint) Mark() int64 { return e.pending.Load() }
+func (e *Endpoint) PendingTokens() int64 { return e.pending.Load() }
 
 // Report stores a load report. pendingAtRequest is the value of PendingTokens when
 // the report was requested: the report includes those tokens, so they no longer
@@ -130,7 +130,7 @@
 // PauseUntil stops all calls to the endpoint until the given time, as the endpoint
 // requested in an answer. An earlier time than one already set has no effect. It
 // reports whether the endpoint was not paused before.
-func (e *Endpoint) RestUntil(until, now time.Time) bool {
+func (e *Endpoint) PauseUntil(until, now time.Time) bool {
 	for {
 		old := e.pausedUntil.Load()
 		if until.UnixNano() <= old {
@@ -144,12 +144,12 @@
 
 // Paused reports whether the endpoint requested that no calls be made for now.
 // This includes requests for load reports.
-func (e *Endpoint) AskedForRest(now time.Time) bool { return now.UnixNano() < e.pausedUntil.Load() }
+func (e *Endpoint) Paused(now time.Time) bool { return now.UnixNano() < e.pausedUntil.Load() }
 
 // Unavailable reports whether the endpoint gets no work for now, because it is
 // ejected or paused. The status shows such an endpoint as resting.
-func (e *Endpoint) Resting(now time.Time) bool {
-	return now.UnixNano() < e.ejectedUntil.Load() || e.AskedForRest(now)
+func (e *Endpoint) Unavailable(now time.Time) bool {
+	return now.UnixNano() < e.ejectedUntil.Load() || e.Paused(now)
 }
 
 // Hall holds the endpoints of a pool that are in one hall.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -20,17 +20,17 @@
 
 // Request holds what a routing decision depends on.
 type Request struct {
-	Session   uint64        // hash of the session key, which is the same for all turns of a conversation
-	Chain     []uint64      // hashes of the blocks of the prompt, in order
-	Tokens    int           // prompt tokens
-	Priority  int           // 0 to 9; 9 is the highest
-	Target    time.Duration // latency target of the request class
-	Recompute float64       // milliseconds of penalty per prompt token that is not cached
-	Hall      string        // hall of the entry instance
-	Draw      uint64        // random number; the caller draws it
-	Avoid     []string      // IDs of endpoints that already failed the request
-	Prefer    string        // ID of the endpoint that holds the request's KV cache, if any
-	Limits    Limits        // nil if no endpoint has a rate limit
+	Session          uint64        // hash of the session key, which is the same for all turns of a conversation
+	Chain            []uint64      // hashes of the blocks of the prompt, in order
+	Tokens           int           // prompt tokens
+	Priority         int           // 0 to 9; 9 is the highest
+	LatencyTarget    time.Duration // latency target of the request class
+	RecomputePenalty float64       // milliseconds of penalty per prompt token that is not cached
+	Hall             string        // hall of the entry instance
+	Random           uint64        // random number; the caller draws it
+	Avoid            []string      // IDs of endpoints that already failed the request
+	Prefer           string        // ID of the endpoint that holds the request's KV cache, if any
+	Limits           Limits        // nil if no endpoint has a rate limit
 }
 
 // Limits holds the rate limits that endpoints set for the instances that call them.
@@ -43,13 +43,13 @@
 // Accepts reports whether an endpoint accepts calls from this instance now: it is
 // not paused and not at its rate limit.
 func (r *Request) Accepts(e *Endpoint, now time.Time) bool {
-	return !e.AskedForRest(now) && (r.Limits == nil || r.Limits.Allows(e.Key, now))
+	return !e.Paused(now) && (r.Limits == nil || r.Limits.Allows(e.Key, now))
 }
 
 // eligible reports whether an endpoint is a candidate for the request: it accepts
 // calls, is not ejected, and has not failed the request already.
 func (r *Request) eligible(e *Endpoint, now time.Time) bool {
-	return !avoided(r, e.ID) && !e.Resting(now) && r.Accepts(e, now)
+	return !avoided(r, e.ID) && !e.Unavailable(now) && r.Accepts(e, now)
 }
 
 // Decision is a chosen endpoint with the estimate it was chosen by.
@@ -120,13 +120,13 @@
 		consider(p.Find(r.Prefer), true)
 	}
 	var affine [affinityCount]*Endpoint
-	n := Homes(p, r.Session, affine[:])
+	n := AffinityEndpoints(p, r.Session, affine[:])
 	for i, e := range affine[:n] {
 		consider(e, i == 0)
 	}
 	for i := range randomCandidates {
 		if p.Size > 0 {
-			consider(p.at(int(mix(r.Draw, uint64(i))%uint64(p.Size))), false)
+			consider(p.at(int(mix(r.Random, uint64(i))%uint64(p.Size))), false)
 		}
 	}
 	if best.Endpoint == nil {
@@ -144,10 +144,10 @@
 // know of the cache on this one, so the tokens would be computed again.
 func score(d Decision, r *Request, primary bool) float64 {
 	ms := float64(d.FirstToken) / float64(time.Millisecond)
-	late := ms - lateThreshold*float64(r.Target)/float64(time.Millisecond)
-	s := ms + r.Recompute*float64(d.Uncached)
+	late := ms - lateThreshold*float64(r.LatencyTarget)/float64(time.Millisecond)
+	s := ms + r.RecomputePenalty*float64(d.Uncached)
 	if !primary {
-		s += r.Recompute * float64(d.Uncached)
+		s += r.RecomputePenalty * float64(d.Uncached)
 	}
 	if late > 0 {
 		s += latePenaltyPerMs * late
@@ -173,16 +173,16 @@
 		queued += n
 	}
 	age := now.Sub(l.At)
-	if l.PerToken > 0 {
-		queued = max(0, queued-int(age/l.PerToken))
+	if l.PromptTokenTime > 0 {
+		queued = max(0, queued-int(age/l.PromptTokenTime))
 	}
 	queued += max(0, int(e.pending.Load()))
-	first := time.Duration(queued+uncached)*l.PerToken + l.Step
+	first := time.Duration(queued+uncached)*l.PromptTokenTime + l.TokenInterval
 	if age > staleReportAge {
 		first += stalePenalty
 	}
 	if joined := now.Sub(e.JoinedAt); joined < slowStartWindow && e.Open() > 0 {
-		first += time.Duration(e.Open()) * l.Step * time.Duration(slowStartWindow-joined) / slowStartWindow
+		first += time.Duration(e.Open()) * l.TokenInterval * time.Duration(slowStartWindow-joined) / slowStartWindow
 	}
 	return Decision{Endpoint: e, FirstToken: first, Uncached: uncached}
 }
@@ -190,7 +190,7 @@
 // AffinityEndpoints writes the affinity endpoints of a session into out, up to its
 // length, and returns their number. They are in order of preference: two in the
 // session's first hall, then one in its second.
-func Homes(p *Pool, session uint64, out []*Endpoint) int {
+func AffinityEndpoints(p *Pool, session uint64, out []*Endpoint) int {
 	first, second := rankHalls(p, session)
 	n := 0
 	if first >= 0 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -20,13 +20,13 @@
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1))
 		e := NewEndpoint(fmt.Sprintf("e%04d", i), 1, addr, fmt.Sprintf("hall-%02d", i%halls), "m", 1000, t0.Add(-time.Hour))
-		e.Report(Load{At: t0, PerToken: 100 * time.Microsecond, Step: 10 * time.Millisecond}, 0)
+		e.Report(Load{At: t0, PromptTokenTime: 100 * time.Microsecond, TokenInterval: 10 * time.Millisecond}, 0)
 		p = p.With(e)
 	}
 	return p
 }
 
-func TestHomesAreEvenAndStable(t *testing.T) {
+func TestAffinityEndpointsAreEvenAndStable(t *testing.T) {
 	is := is.New(t)
 	p := testPool(40, 4)
 	removed := p.at(7)
@@ -36,8 +36,8 @@
 	const sessions = 20_000
 	for s := range uint64(sessions) {
 		var a, b [affinityCount]*Endpoint
-		Homes(p, mix(s, 1), a[:])
-		Homes(q, mix(s, 1), b[:])
+		AffinityEndpoints(p, mix(s, 1), a[:])
+		AffinityEndpoints(q, mix(s, 1), b[:])
 		sessionsOf[a[0].ID]++
 		if a[0] != removed && a[0] != b[0] {
 			moved++
@@ -52,15 +52,15 @@
 	is.True(moved < sessions*2/100) // removing one endpoint moves few sessions of the others
 }
 
-func TestDefaultStaysWhereTheCacheIsUntilLate(t *testing.T) {
+func TestDefaultPolicyPrefersCacheUntilQueueIsLong(t *testing.T) {
 	is := is.New(t)
 	p := testPool(10, 2)
 	prompt := strings.Repeat("w", 8000)
-	r := &Request{Session: 42, Chain: prefix.Chain("m", prompt), Tokens: 2000, Priority: 5, Target: 2 * time.Second, Recompute: 0.05}
+	r := &Request{Session: 42, Chain: prefix.Chain("m", prompt), Tokens: 2000, Priority: 5, LatencyTarget: 2 * time.Second, RecomputePenalty: 0.05}
 	first, ok := New(PolicyDefault).Choose(p, r, t0)
 	is.True(ok)
 	first.Endpoint.Blocks.Add(r.Chain...)
-	busy := Load{At: t0, PerToken: 100 * time.Microsecond, Step: 10 * time.Millisecond}
+	busy := Load{At: t0, PromptTokenTime: 100 * time.Microsecond, TokenInterval: 10 * time.Millisecond}
 	busy.QueuedTokens[5] = 1500
 	first.Endpoint.Report(busy, 0)
 	again, _ := New(PolicyDefault).Choose(p, r, t0)
@@ -74,22 +74,22 @@
 func TestHigherPriorityDoesNotCountLowerQueue(t *testing.T) {
 	is := is.New(t)
 	e := testPool(1, 1).at(0)
-	l := Load{At: t0, PerToken: time.Millisecond}
+	l := Load{At: t0, PromptTokenTime: time.Millisecond}
 	l.QueuedTokens[2] = 1000
 	e.Report(l, 0)
 	is.Equal(Estimate(e, &Request{Tokens: 10, Priority: 7}, t0).FirstToken, 10*time.Millisecond)
 	is.Equal(Estimate(e, &Request{Tokens: 10, Priority: 2}, t0).FirstToken, 1010*time.Millisecond)
 }
 
-func TestStaleLoadIsSuspectNotIdle(t *testing.T) {
+func TestStaleLoadIsPenalized(t *testing.T) {
 	is := is.New(t)
 	p := testPool(2, 1)
-	p.at(1).Report(Load{At: t0.Add(10 * time.Second), PerToken: 100 * time.Microsecond, Step: 10 * time.Millisecond}, 0)
-	d, _ := New(PolicyDefault).Choose(p, &Request{Tokens: 100, Target: time.Second}, t0.Add(10*time.Second))
+	p.at(1).Report(Load{At: t0.Add(10 * time.Second), PromptTokenTime: 100 * time.Microsecond, TokenInterval: 10 * time.Millisecond}, 0)
+	d, _ := New(PolicyDefault).Choose(p, &Request{Tokens: 100, LatencyTarget: time.Second}, t0.Add(10*time.Second))
 	is.Equal(d.Endpoint.ID, p.at(1).ID)
 }
 
-func TestEveryPolicyAvoidsRestingAndFailedEndpoints(t *testing.T) {
+func TestEveryPolicyAvoidsEjectedAndFailedEndpoints(t *testing.T) {
 	for _, name := range []string{PolicyDefault, PolicyRoundRobin, PolicyLeastLoaded, PolicySessionHash} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -102,10 +102,10 @@
 			policy := New(name)
 			rnd := rand.New(rand.NewPCG(1, 2))
 			for range 200 {
-				r := &Request{Session: rnd.Uint64(), Draw: rnd.Uint64(), Tokens: 10, Target: time.Second, Avoid: []string{p.at(3).ID}}
+				r := &Request{Session: rnd.Uint64(), Random: rnd.Uint64(), Tokens: 10, LatencyTarget: time.Second, Avoid: []string{p.at(3).ID}}
 				d, ok := policy.Choose(p, r, t0)
 				is.True(ok)
-				is.True(!d.Endpoint.Resting(t0))
+				is.True(!d.Endpoint.Unavailable(t0))
 				is.True(d.Endpoint.ID != p.at(3).ID)
 			}
 			for i := range 6 {
@@ -113,7 +113,7 @@
 					p.at(i).Failed(t0)
 				}
 			}
-			_, ok := policy.Choose(p, &Request{Tokens: 10, Target: time.Second}, t0)
+			_, ok := policy.Choose(p, &Request{Tokens: 10, LatencyTarget: time.Second}, t0)
 			is.True(ok) // if all endpoints are ejected, one is tried nevertheless
 		})
 	}
@@ -121,13 +121,13 @@
 
 // A pause requested by an endpoint lasts until its end for every policy: neither a
 // successful call, a failure nor an earlier end time shortens it.
-func TestARestThatWasAskedForIsKept(t *testing.T) {
+func TestRequestedPauseIsKept(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := testPool(1, 1)
 	e := p.at(0)
-	is.True(e.RestUntil(now.Add(3*time.Second), now))
-	is.True(!e.RestUntil(now.Add(time.Second), now))
+	is.True(e.PauseUntil(now.Add(3*time.Second), now))
+	is.True(!e.PauseUntil(now.Add(time.Second), now))
 	e.Succeeded(time.Millisecond)
 	e.Failed(now)
 	for _, name := range []string{PolicyDefault, PolicyRoundRobin, PolicyLeastLoaded, PolicySessionHash} {
@@ -136,7 +136,7 @@
 		_, ok = New(name).Choose(p, &Request{}, now.Add(3*time.Second))
 		is.True(ok)
 	}
-	is.True(e.RestUntil(now.Add(9*time.Second), now.Add(5*time.Second))) // a new pause
+	is.True(e.PauseUntil(now.Add(9*time.Second), now.Add(5*time.Second))) // a new pause
 }
 
 func TestPoolKeepsOneIncarnation(t *testing.T) {
@@ -154,11 +154,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := testPool(n, min(20, n/5))
 			chain := prefix.Chain("m", strings.Repeat("w", 8000))
-			r := &Request{Chain: chain, Tokens: 2000, Priority: 5, Target: time.Second, Recompute: 0.05}
+			r := &Request{Chain: chain, Tokens: 2000, Priority: 5, LatencyTarget: time.Second, RecomputePenalty: 0.05}
 			policy := New(PolicyDefault)
 			b.ReportAllocs()
 			for i := range b.N {
-				r.Session, r.Draw = uint64(i)*7919, uint64(i)
+				r.Session, r.Random = uint64(i)*7919, uint64(i)
 				policy.Choose(p, r, t0)
 			}
 		})
--- a/internal/settings/front.go
+++ b/internal/settings/front.go
@@ -37,23 +37,23 @@
 // Bounds are the time limits and quotas that the deployment requires. A time limit counts from
 // the event that it is about, such as the removal of a key.
 type Bounds struct {
-	RevokeMs     float64 `toml:"revoke_ms" help:"Time after which a removed key must be rejected."`
-	StrictRevoke bool    `toml:"strict_revoke" help:"Whether revoke_ms also applies to an instance that cannot reach the store. If false, such an instance continues to accept the keys that it knows."`
-	ConfigMs     float64 `toml:"config_ms" help:"Time after which a configuration written to the store must be in force."`
-	OuterMs      float64 `toml:"outer_ms" help:"Time added to config_ms for an instance whose calls the store refuses while it serves others."`
-	DrainMs      float64 `toml:"drain_ms" help:"Time after which an endpoint that is leaving must get no new requests."`
-	GraceS       float64 `toml:"grace_s" help:"Time from the stop signal to the end of the process."`
-	RetryRatio   float64 `toml:"retry_ratio" help:"Retries allowed per request."`
-	RetrySlack   float64 `toml:"retry_slack" help:"Retries allowed in each window in addition to retry_ratio."`
-	RetryWindowS float64 `toml:"retry_window_s" help:"Window of retry_slack."`
-	QuotaOver    float64 `toml:"quota_over" help:"Share by which the use in a window may exceed the limit of a client account."`
-	QuotaSlack   float64 `toml:"quota_slack" help:"Units by which the use in a window may exceed the limit in addition to quota_over."`
-	QuotaWindowS float64 `toml:"quota_window_s" help:"Window over which the use of a limit is measured."`
-	LeaseMs      float64 `toml:"lease_ms" help:"Lease of the instance that leads the fleet."`
-	UsageWindowS float64 `toml:"usage_window_s" help:"Window for which usage is reported."`
-	ExposeShare  float64 `toml:"expose_share" help:"Share of a service's requests that a version on trial may get; 0 if there are no roll-outs."`
-	ExposeSlack  float64 `toml:"expose_slack" help:"Requests that a version on trial may get in addition to expose_share."`
-	UsageLateS   float64 `toml:"usage_late_s" help:"Time after the end of a window at which its report is due."`
+	RevokeMs            float64 `toml:"revoke_ms" help:"Time after which a removed key must be rejected."`
+	StrictRevoke        bool    `toml:"strict_revoke" help:"Whether revoke_ms also applies to an instance that cannot reach the store. If false, such an instance continues to accept the keys that it knows."`
+	ConfigMs            float64 `toml:"config_ms" help:"Time after which a configuration written to the store must be in force."`
+	StoreRefusedExtraMs float64 `toml:"outer_ms" help:"Time added to config_ms for an instance whose calls the store refuses while it serves others."`
+	DrainMs             float64 `toml:"drain_ms" help:"Time after which an endpoint that is leaving must get no new requests."`
+	GraceS              float64 `toml:"grace_s" help:"Time from the stop signal to the end of the process."`
+	RetryRatio          float64 `toml:"retry_ratio" help:"Retries allowed per request."`
+	RetrySlack          float64 `toml:"retry_slack" help:"Retries allowed in each window in addition to retry_ratio."`
+	RetryWindowS        float64 `toml:"retry_window_s" help:"Window of retry_slack."`
+	QuotaOver           float64 `toml:"quota_over" help:"Share by which the use in a window may exceed the limit of a client account."`
+	QuotaSlack          float64 `toml:"quota_slack" help:"Units by which the use in a window may exceed the limit in addition to quota_over."`
+	QuotaWindowS        float64 `toml:"quota_window_s" help:"Window over which the use of a limit is measured."`
+	LeaseMs             float64 `toml:"lease_ms" help:"Lease of the instance that leads the fleet."`
+	UsageWindowS        float64 `toml:"usage_window_s" help:"Window for which usage is reported."`
+	ExposeShare         float64 `toml:"expose_share" help:"Share of a service's requests that a version on trial may get; 0 if there are no roll-outs."`
+	ExposeSlack         float64 `toml:"expose_slack" help:"Requests that a version on trial may get in addition to expose_share."`
+	UsageLateS          float64 `toml:"usage_late_s" help:"Time after the end of a window at which its report is due."`
 }
 
 // Revoke returns the time after which a removed key must be rejected.
@@ -64,7 +64,7 @@
 func (b Bounds) Config() time.Duration { return inMilliseconds(b.ConfigMs) }
 
 // StoreRefusedExtra returns the time added to Config for an instance whose calls the store refuses.
-func (b Bounds) Outer() time.Duration { return inMilliseconds(b.OuterMs) }
+func (b Bounds) StoreRefusedExtra() time.Duration { return inMilliseconds(b.StoreRefusedExtraMs) }
 
 // Drain returns the time after which a leaving endpoint must get no new requests.
 func (b Bounds) Drain() time.Duration { return inMilliseconds(b.DrainMs) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,16 +23,16 @@
 )
 
 // Entry holds the settings of an entry instance.
-type Serve struct {
-	Name   string         `toml:"name" help:"Name of the instance, unique among the entry instances."`
-	Hall   string         `toml:"hall" help:"Hall that the instance runs in."`
-	Region string         `toml:"region" help:"Region of the hall."`
-	Caller netip.AddrPort `toml:"caller_address" help:"Address at which callers and operators connect to the instance."`
-	Peer   netip.AddrPort `toml:"peer_address" help:"Address at which the other entry instances connect to it."`
-	Store  netip.AddrPort `toml:"store_address" help:"Address of the platform's key-value service."`
-	List   netip.AddrPort `toml:"list_address" help:"Address of the platform's instance list and cloud API."`
-	Plain  bool           `toml:"plain_text" help:"Must be true to run without TLS; traffic is then not encrypted."`
-	TLS    TLS            `toml:"tls" help:"Certificates; required unless plain_text is true."`
+type Entry struct {
+	Name      string         `toml:"name" help:"Name of the instance, unique among the entry instances."`
+	Hall      string         `toml:"hall" help:"Hall that the instance runs in."`
+	Region    string         `toml:"region" help:"Region of the hall."`
+	Caller    netip.AddrPort `toml:"caller_address" help:"Address at which callers and operators connect to the instance."`
+	Peer      netip.AddrPort `toml:"peer_address" help:"Address at which the other entry instances connect to it."`
+	Store     netip.AddrPort `toml:"store_address" help:"Address of the platform's key-value service."`
+	List      netip.AddrPort `toml:"list_address" help:"Address of the platform's instance list and cloud API."`
+	PlainText bool           `toml:"plain_text" help:"Must be true to run without TLS; traffic is then not encrypted."`
+	TLS       TLS            `toml:"tls" help:"Certificates; required unless plain_text is true."`
 }
 
 // TLS holds the names of the certificate files, which are reloaded when they change.
@@ -70,8 +70,8 @@
 }
 
 // LoadEntry reads and checks the settings of an entry instance. A *FaultsError lists all faults.
-func LoadServe(file string) (Serve, error) {
-	var s Serve
+func LoadEntry(file string) (Entry, error) {
+	var s Entry
 	err := loadFile(file, &s, func(lines map[string]int) []Fault { return s.check(lines) })
 	return s, err
 }
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func (s *Serve) check(lines map[string]int) []Fault {
+func (s *Entry) check(lines map[string]int) []Fault {
 	c := checker{lines: lines}
 	c.require("name", s.Name != "")
 	c.require("hall", s.Hall != "")
@@ -250,8 +250,8 @@
 	}
 }
 
-func (s *Serve) checkTLS(lines map[string]int) []Fault {
-	if s.Plain {
+func (s *Entry) checkTLS(lines map[string]int) []Fault {
+	if s.PlainText {
 		return nil
 	}
 	var faults []Fault
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,13 +9,13 @@
 	"github.com/matryer/is"
 )
 
-func load(t *testing.T, text string) (Serve, []Fault) {
+func load(t *testing.T, text string) (Entry, []Fault) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := LoadServe(file)
+	s, err := LoadEntry(file)
 	var f *FaultsError
 	if errors.As(err, &f) {
 		return s, f.Faults
@@ -75,6 +75,6 @@
 
 func TestMissingFile(t *testing.T) {
 	is := is.New(t)
-	_, err := LoadServe("/nowhere/s.toml")
+	_, err := LoadEntry("/nowhere/s.toml")
 	is.True(err != nil)
 }
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -60,14 +60,14 @@
 	return err
 }
 
-func TestALinkCarriesBytesBothWays(t *testing.T) {
+func TestALinkForwardsBytesInBothDirections(t *testing.T) {
 	is := is.New(t)
 	c := dial(t, newEchoLink(t))
 	is.NoErr(roundTrip(c))
 	is.NoErr(roundTrip(c))
 }
 
-func TestASilentLinkCarriesWhatWaitedOnceItHeals(t *testing.T) {
+func TestAStalledLinkForwardsHeldBytesOnceItRecovers(t *testing.T) {
 	for _, s := range []linkState{{stallToTarget: true}, {stallFromTarget: true}} {
 		is := is.New(t)
 		k := newEchoLink(t)
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -16,7 +16,7 @@
 
 // bounds are the limits configured for the instances of a soak run. The checker uses them too.
 var bounds = settings.Bounds{
-	RevokeMs: 5000, StrictRevoke: true, ConfigMs: 2000, OuterMs: 5000, DrainMs: 2000, GraceS: 8, RetryRatio: 0.2, RetrySlack: 50,
+	RevokeMs: 5000, StrictRevoke: true, ConfigMs: 2000, StoreRefusedExtraMs: 5000, DrainMs: 2000, GraceS: 8, RetryRatio: 0.2, RetrySlack: 50,
 	RetryWindowS: 10, QuotaOver: 0.1, QuotaWindowS: 8, LeaseMs: 3000, UsageWindowS: 5, UsageLateS: 10,
 }
 
@@ -47,7 +47,7 @@
 
 func route(name string, kind policy.Kind, service string, timeout time.Duration, attempts int, resumable bool) policy.Route {
 	return policy.Route{
-		Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: timeout, Target: time.Second, MaxPause: time.Second,
+		Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: timeout, TargetLatency: time.Second, TargetEventGap: time.Second,
 		MaxAttempts: attempts, Resumable: resumable, Split: []policy.Share{{Service: service, Weight: 1}},
 	}
 }
@@ -142,7 +142,7 @@
 func (o *operator) write(revoked *key) error {
 	c := policy.Config{
 		Version:  o.version,
-		Services: []policy.Service{{Name: plainService}, {Name: engineService, Engine: &policy.Engine{Slots: slots, TokensAnItem: 1}}},
+		Services: []policy.Service{{Name: plainService}, {Name: engineService, Engine: &policy.Engine{Slots: slots, TokensPerEvent: 1}}},
 		Limits:   policy.Limits{IdleTimeout: 15 * time.Second},
 	}
 	for _, class := range classes {
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -108,7 +108,7 @@
 	}
 	defer r.record.beginDisruption("", a.Kind, false)()
 	w.writer.outage.Lock()
-	w.store.SetFaults("", storetest.Faults{Down: true, Silent: true})
+	w.store.SetFaults("", storetest.Faults{Down: true, WatchSilent: true})
 	sleep(ctx, a.For)
 	w.store.Restore(b.Backup)
 	w.store.ClearFaults("")
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -223,8 +223,8 @@
 // storeFaults maps kinds of faults to the faults injected into the store, for one instance or all.
 var storeFaults = map[Kind]storetest.Faults{
 	StoreDown:         {Down: true},
-	StoreRefuses:      {Busy: true},
+	StoreRefuses:      {Refuse: true},
 	StoreSlow:         {Slow: 300 * time.Millisecond},
-	StoreLosesAnswers: {LoseNext: 3, Late: lateWriteDelay},
-	StoreSilent:       {Silent: true},
+	StoreLosesAnswers: {LoseNext: 3, LateBy: lateWriteDelay},
+	StoreSilent:       {WatchSilent: true},
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -60,7 +60,7 @@
 	is.Equal(len(drawn), len(Kinds))
 }
 
-func TestScenariosThatCannotBePlayed(t *testing.T) {
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{
 		"", "seconds = 60", "seconds = 10\ninstances = 3\nhalls = 1\nengines = 1\nservices = 1\nrate = 1.0", "seconds = 'x'",
--- a/internal/standin/deadly.go
+++ b/internal/standin/deadly.go
@@ -13,7 +13,7 @@
 
 // crashOnDeadlyPrompt schedules a crash and a restart of an engine if its prompt contains the deadly
 // text of the faults.
-func (w *World) crashOnDeadlyPrompt(p Place, prompt string) {
+func (w *World) crashOnDeadlyPrompt(p InstanceSpec, prompt string) {
 	deadly := w.Faults().DeadlyPrompt
 	if deadly == "" || !strings.Contains(prompt, deadly) {
 		return
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -20,7 +20,7 @@
 // engine simulates a model engine with continuous batching, a prefix cache and KV cache transfer.
 type engine struct {
 	world     *World
-	spec      Place
+	spec      InstanceSpec
 	http      *http.Client // fetches KV caches from other engines
 	workAdded chan struct{}
 	ctx       context.Context
@@ -51,7 +51,7 @@
 	ctx          context.Context
 }
 
-func newEngine(w *World, p Place, _ uint64) *engine {
+func newEngine(w *World, p InstanceSpec, _ uint64) *engine {
 	e := &engine{
 		world: w, spec: p, workAdded: make(chan struct{}, 1),
 		http:       &http.Client{Transport: netx.Transport(w.networkOf(p.ID))}, // closed by runBatch
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -152,7 +152,7 @@
 		return
 	}
 	data, rev := v.data, v.rev
-	if f.StoreOld && v.previous != nil {
+	if f.StoreStale && v.previous != nil {
 		data, rev = v.previous, v.previousRev
 	}
 	rw.Header().Set("Revision", strconv.FormatUint(rev, 10))
--- a/internal/standin/ratelimit.go
+++ b/internal/standin/ratelimit.go
@@ -35,7 +35,7 @@
 }
 
 // SetRateLimit makes an endpoint advertise a rate limit, in calls per second, in its answers.
-func (w *World) NameRateLimit(id string, rate float64) {
+func (w *World) SetRateLimit(id string, rate float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rateLimits.advertised[id] = rate
@@ -43,7 +43,7 @@
 }
 
 // ClearRateLimit makes an endpoint stop advertising a rate limit.
-func (w *World) LiftRateLimit(id string) {
+func (w *World) ClearRateLimit(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.rateLimits.advertised, id)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,11 +13,11 @@
 // for each, and counts the runs of each call.
 type service struct {
 	world   *World
-	spec    Place
+	spec    InstanceSpec
 	workers chan struct{}
 }
 
-func newService(w *World, p Place) *service {
+func newService(w *World, p InstanceSpec) *service {
 	return &service{world: w, spec: p, workers: make(chan struct{}, max(1, w.settings.Timing.ServiceWorkers))}
 }
 
--- a/internal/standin/timing.go
+++ b/internal/standin/timing.go
@@ -42,7 +42,7 @@
 
 // InstanceSpec describes one instance that the simulation runs or, for an entry instance, only
 // lists.
-type Place struct {
+type InstanceSpec struct {
 	ID       string         `toml:"id"`
 	Addr     netip.AddrPort `toml:"address"`
 	Peer     netip.AddrPort `toml:"peer_address"` // entry instances only
@@ -57,9 +57,9 @@
 	List    netip.AddrPort `toml:"list_address"`
 	Seed    uint64         `toml:"seed"`
 	Timing  Timing         `toml:"timing"`
-	Engine  []Place        `toml:"engine"`
-	Service []Place        `toml:"service"`
-	Entry   []Place        `toml:"entry"`
+	Engine  []InstanceSpec `toml:"engine"`
+	Service []InstanceSpec `toml:"service"`
+	Entry   []InstanceSpec `toml:"entry"`
 	Table   string         `toml:"table"` // JSON of the first table; empty for none
 }
 
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -27,7 +27,7 @@
 	StoreDown       bool    `json:"store_down"`
 	StoreSlowMs     int     `json:"store_slow_ms"`
 	StoreLoseAnswer float64 `json:"store_lose_answer"` // share of writes that take effect but get no response
-	StoreOld        bool    `json:"store_old"`         // reads return the value before the latest
+	StoreStale      bool    `json:"store_old"`         // reads return the value before the latest
 	ListFrozen      bool    `json:"list_frozen"`       // the instance list is not updated
 	RefuseKVImport  float64 `json:"refuse_kv_import"`  // share of KV cache imports that are refused
 	DeadlyPrompt    string  `json:"deadly_prompt"`     // an engine that gets a prompt containing this text crashes and restarts; empty for none
@@ -173,7 +173,7 @@
 }
 
 // AddEngine starts and lists a model engine.
-func (w *World) AddEngine(p Place, incarnation uint64) error {
+func (w *World) AddEngine(p InstanceSpec, incarnation uint64) error {
 	e := newEngine(w, p, incarnation)
 	if err := w.serve(p.ID, p.Addr, e.mux(), e); err != nil {
 		return err
@@ -183,7 +183,7 @@
 }
 
 // AddService starts and lists a plain service.
-func (w *World) AddService(p Place, incarnation uint64) error {
+func (w *World) AddService(p InstanceSpec, incarnation uint64) error {
 	if err := w.serve(p.ID, p.Addr, newService(w, p), nil); err != nil {
 		return err
 	}
@@ -192,18 +192,18 @@
 }
 
 // AddEntry lists an entry instance; it does not run it.
-func (w *World) AddEntry(p Place, incarnation uint64) {
+func (w *World) AddEntry(p InstanceSpec, incarnation uint64) {
 	w.addInstance(p, platform.KindEntry, incarnation, 0)
 }
 
-func (w *World) price(p Place) float64 {
+func (w *World) price(p InstanceSpec) float64 {
 	if p.OnDemand {
 		return w.settings.Timing.PriceOnDemand
 	}
 	return w.settings.Timing.PriceSpot
 }
 
-func (w *World) addInstance(p Place, kind platform.Kind, incarnation uint64, price float64) {
+func (w *World) addInstance(p InstanceSpec, kind platform.Kind, incarnation uint64, price float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.instances = append(w.instances, &instance{
@@ -338,7 +338,7 @@
 }
 
 // MarkGone records that an instance which the world does not run itself has ended.
-func (w *World) Gone(id string) {
+func (w *World) MarkGone(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.markGoneLocked(id)
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -23,13 +23,13 @@
 )
 
 // ErrRevisionRange reports that the era or the number of a revision is out of range.
-var ErrRevision = errors.New("store revision out of range")
+var ErrRevisionRange = errors.New("store revision out of range")
 
 // NewRevision returns the revision with the given era and number. It returns ErrRevisionRange
 // if one of them is out of range.
 func NewRevision(era, number int64) (Revision, error) {
 	if era < 0 || era >= 1<<eraBits || number < 0 || number > numberMask {
-		return 0, fmt.Errorf("%w: era %d, number %d", ErrRevision, era, number)
+		return 0, fmt.Errorf("%w: era %d, number %d", ErrRevisionRange, era, number)
 	}
 	return Revision(era<<numberBits | number), nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,7 @@
 // Event is a change of a key.
 type Event struct {
 	Item
-	Gone bool // the key was deleted; Value is empty
+	Deleted bool // the key was deleted; Value is empty
 }
 
 // Expect is a condition of a transaction: the key must have the given revision, or be absent
@@ -41,12 +41,12 @@
 type Txn struct {
 	Expect []Expect
 	Put    []Put
-	Drop   []string // keys to delete
+	Delete []string // keys to delete
 }
 
 // ExpectsEarlierEra reports whether a condition has a revision of an earlier era. The store
 // compares the numbers alone, and may have reused this one since it was restored.
-func (t Txn) ExpectsBefore(era int64) bool {
+func (t Txn) ExpectsEarlierEra(era int64) bool {
 	for _, e := range t.Expect {
 		if e.Revision != 0 && e.Revision.Era() < era {
 			return true
--- a/internal/storetest/storetest.go
+++ b/internal/storetest/storetest.go
@@ -18,13 +18,13 @@
 
 // Faults are the faults injected into the calls of a caller. The zero value injects none.
 type Faults struct {
-	Down     bool          // calls block until their context ends
-	Busy     bool          // calls fail with store.ErrRefused
-	LoseNext int           // number of next transactions that are applied but not answered
-	Late     time.Duration // delay before a transaction without answer is applied
-	Silent   bool          // watches report no changes
-	Slow     time.Duration // latency added to each call
-	Frozen   bool          // the caller's process is stopped: its calls are sent, and answers delivered, once this is false
+	Down        bool          // calls block until their context ends
+	Refuse      bool          // calls fail with store.ErrRefused
+	LoseNext    int           // number of next transactions that are applied but not answered
+	LateBy      time.Duration // delay before a transaction without answer is applied
+	WatchSilent bool          // watches report no changes
+	Slow        time.Duration // latency added to each call
+	Frozen      bool          // the caller's process is stopped: its calls are sent, and answers delivered, once this is false
 }
 
 // ErrLost reports that the answer of a call was lost.
@@ -141,7 +141,7 @@
 func (s *Store) deleteKey(key string) {
 	delete(s.items, key)
 	delete(s.createdAt, key)
-	s.log = append(s.log, store.Event{Item: store.Item{Key: key, Revision: s.revision()}, Gone: true})
+	s.log = append(s.log, store.Event{Item: store.Item{Key: key, Revision: s.revision()}, Deleted: true})
 }
 
 // expire deletes the keys of expired leases.
@@ -191,7 +191,7 @@
 	s.calls++
 	s.mu.Unlock()
 	switch {
-	case f.Busy:
+	case f.Refuse:
 		return store.ErrRefused
 	case f.Down:
 		<-ctx.Done()
@@ -316,7 +316,7 @@
 	if n := after.Number(); n < s.oldest || n > s.rev {
 		return nil, 0, nil, store.ErrCompacted
 	}
-	if s.faults[c.caller].Silent {
+	if s.faults[c.caller].WatchSilent {
 		return nil, revision(s.era, after.Number()), s.changed, nil
 	}
 	var out []store.Event
@@ -335,7 +335,7 @@
 	}
 	s := c.store
 	s.mu.Lock()
-	if t.ExpectsBefore(c.era) {
+	if t.ExpectsEarlierEra(c.era) {
 		s.mu.Unlock()
 		return 0, &store.Conflict{}
 	}
@@ -343,8 +343,8 @@
 	if f.LoseNext > 0 {
 		f.LoseNext--
 		s.faults[c.caller] = f
-		if f.Late > 0 {
-			time.AfterFunc(f.Late, func() {
+		if f.LateBy > 0 {
+			time.AfterFunc(f.LateBy, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				_, _ = s.do(t)
@@ -383,7 +383,7 @@
 	for _, p := range t.Put {
 		s.put(p)
 	}
-	for _, key := range t.Drop {
+	for _, key := range t.Delete {
 		if _, ok := s.items[key]; ok {
 			s.deleteKey(key)
 		}
--- a/internal/table/bench_test.go
+++ b/internal/table/bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkDecodeAndView measures decoding a new revision and computing its View, by the
 // number of rows.
-func BenchmarkRead(b *testing.B) {
+func BenchmarkDecodeAndView(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := testDocument()
--- a/internal/table/column.go
+++ b/internal/table/column.go
@@ -34,39 +34,39 @@
 
 // Column describes one column: its type, unit, range and meaning.
 type Column struct {
-	Name    string
-	Type    Type
-	Unit    string
-	Min     float64
-	Max     float64
-	For     string // rows that use the column: "account", "class", "both" or "default"
-	Default string // value where neither the row nor the default row has one
-	Help    string // description, printed in the operators' documentation
+	Name      string
+	Type      Type
+	Unit      string
+	Min       float64
+	Max       float64
+	AppliesTo string // rows that use the column: "account", "class", "both" or "default"
+	Default   string // value where neither the row nor the default row has one
+	Help      string // description, printed in the operators' documentation
 }
 
 // Names of the columns.
 const (
-	ColKind         = "kind"
-	ColKey          = "key_sha256"
-	ColOperator     = "operator"
-	ColMatch        = "match"
-	ColModel        = "model"
-	ColWeight       = "weight"
-	ColPriority     = "priority"
-	ColLimitRate    = "limit_requests_per_s"
-	ColLimitToks    = "limit_tokens_per_s"
-	ColLimitOpen    = "limit_concurrent"
-	ColTarget       = "target_ms"
-	ColDeadline     = "deadline_ms"
-	ColMayBeLate    = "may_be_late"
-	ColRepeatable   = "repeatable"
-	ColRecompute    = "recompute_price"
-	ColRetryShare   = "retry_share"
-	ColStopDeadline = "stop_deadline_ms"
-	ColRetention    = "retention_ms"
-	ColRecords      = "record_capacity"
-	ColMoveKV       = "move_kv"
-	ColPolicy       = "routing_policy"
+	ColKind            = "kind"
+	ColKey             = "key_sha256"
+	ColOperator        = "operator"
+	ColMatch           = "match"
+	ColModel           = "model"
+	ColWeight          = "weight"
+	ColPriority        = "priority"
+	ColLimitRate       = "limit_requests_per_s"
+	ColLimitTokens     = "limit_tokens_per_s"
+	ColLimitConcurrent = "limit_concurrent"
+	ColLatencyTarget   = "target_ms"
+	ColDeadline        = "deadline_ms"
+	ColMayBeLate       = "may_be_late"
+	ColRepeatable      = "repeatable"
+	ColRecomputePrice  = "recompute_price"
+	ColRetryShare      = "retry_share"
+	ColStopDeadline    = "stop_deadline_ms"
+	ColRetention       = "retention_ms"
+	ColRecordCapacity  = "record_capacity"
+	ColMoveKV          = "move_kv"
+	ColPolicy          = "routing_policy"
 )
 
 // Columns lists every column in the order in which it is shown.
@@ -79,17 +79,17 @@
 	{ColWeight, TypeFloat, "shares", 0, 1000, "account", "1", "Fair share of work when there is not enough for all."},
 	{ColPriority, TypeInt, "", 0, 9, "class", "5", "Higher goes first; lower is refused first when short."},
 	{ColLimitRate, TypeFloat, "requests/s", 0, 1e6, "account", "0", "Most requests a second over all entry instances; 0 is no limit."},
-	{ColLimitToks, TypeFloat, "tokens/s", 0, 1e8, "account", "0", "Most tokens of work a second over all entry instances; 0 is no limit."},
-	{ColLimitOpen, TypeInt, "requests", 0, 1e6, "account", "0", "Most open requests over all entry instances; 0 is no limit."},
-	{ColTarget, TypeDuration, "ms", 1, 600000, "class", "2000", "Latency target: first token of a model call, whole answer of a service call."},
+	{ColLimitTokens, TypeFloat, "tokens/s", 0, 1e8, "account", "0", "Most tokens of work a second over all entry instances; 0 is no limit."},
+	{ColLimitConcurrent, TypeInt, "requests", 0, 1e6, "account", "0", "Most open requests over all entry instances; 0 is no limit."},
+	{ColLatencyTarget, TypeDuration, "ms", 1, 600000, "class", "2000", "Latency target: first token of a model call, whole answer of a service call."},
 	{ColDeadline, TypeDuration, "ms", 10, 3600000, "class", "120000", "Time until a request without a Request-Deadline is given up on."},
 	{ColMayBeLate, TypeBool, "", 0, 0, "class", "false", "Whether a model call may wait past its target when there is not enough for all. If false it is refused instead, with a time to come back."},
 	{ColRepeatable, TypeBool, "", 0, 0, "class", "true", "Whether a call may run twice. If false it runs at most once."},
-	{ColRecompute, TypeFloat, "ms/token", 0, 100, "class", "0.05", "Price of recomputing one prompt token, as milliseconds of lateness."},
+	{ColRecomputePrice, TypeFloat, "ms/token", 0, 100, "class", "0.05", "Price of recomputing one prompt token, as milliseconds of lateness."},
 	{ColRetryShare, TypeFloat, "share", 0, 1, "class", "0.2", "Retries allowed as a share of first tries."},
 	{ColStopDeadline, TypeDuration, "ms", 1000, 3600000, "default", "60000", "How long a planned stop waits for open streams before it moves them."},
 	{ColRetention, TypeDuration, "ms", 1000, 86400000, "default", "600000", "How long after its deadline a request that may not be repeated is remembered."},
-	{ColRecords, TypeInt, "requests", 10, 1e6, "default", "20000", "Most request records one entry instance holds; over it new requests are refused."},
+	{ColRecordCapacity, TypeInt, "requests", 10, 1e6, "default", "20000", "Most request records one entry instance holds; over it new requests are refused."},
 	{ColMoveKV, TypeBool, "", 0, 0, "default", "true", "Whether a stream that leaves an endpoint takes its KV cache along."},
 	{ColPolicy, TypeText, "", 0, 0, "default", "default", "Routing policy: default, or a baseline: round-robin, least-loaded, session-hash."},
 }
--- a/internal/table/store.go
+++ b/internal/table/store.go
@@ -104,7 +104,7 @@
 		switch {
 		case err == nil:
 			return acc, Stored{next, rev}, nil
-		case errors.Is(err, kv.ErrUnknown):
+		case errors.Is(err, kv.ErrUnknownOutcome):
 			unresolved, lostRevision = true, cur.Revision
 		case errors.Is(err, kv.ErrConflict), errors.Is(err, kv.ErrRateLimited):
 		default:
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -61,16 +61,16 @@
 
 // Edit is one change of the table that an operator requested.
 type Edit struct {
-	ID     string `json:"id"` // chosen by the client; identifies an edit that is retried
-	By     string `json:"by"` // client account of the operator
-	Op     Op     `json:"op"`
-	Row    string `json:"row"`
-	Column string `json:"column,omitempty"`
-	Value  string `json:"value,omitempty"`
-	Was    string `json:"was,omitempty"`     // value that the operator expects the cell to have
-	HasWas bool   `json:"has_was,omitempty"` // whether Expected is compared with the current value
-	Kind   string `json:"kind,omitempty"`    // RowKind of a row that is added
-	Force  bool   `json:"force,omitempty"`   // skips the check that the table stays usable
+	ID          string `json:"id"` // chosen by the client; identifies an edit that is retried
+	By          string `json:"by"` // client account of the operator
+	Op          Op     `json:"op"`
+	Row         string `json:"row"`
+	Column      string `json:"column,omitempty"`
+	Value       string `json:"value,omitempty"`
+	Expected    string `json:"was,omitempty"`     // value that the operator expects the cell to have
+	HasExpected bool   `json:"has_was,omitempty"` // whether Expected is compared with the current value
+	Kind        string `json:"kind,omitempty"`    // RowKind of a row that is added
+	Force       bool   `json:"force,omitempty"`   // skips the check that the table stays usable
 }
 
 // Accepted is an edit that took effect, as kept in the audit trail.
@@ -221,8 +221,8 @@
 		return "", &RejectedError{Row: e.Row, Column: e.Column, Reason: err.Error()}
 	}
 	old := d.Rows[i].Get(e.Column)
-	if e.HasWas && e.Was != old {
-		return "", &ConflictError{Row: e.Row, Column: e.Column, Expected: e.Was, Current: old, By: d.lastEditor(e.Row, e.Column)}
+	if e.HasExpected && e.Expected != old {
+		return "", &ConflictError{Row: e.Row, Column: e.Column, Expected: e.Expected, Current: old, By: d.lastEditor(e.Row, e.Column)}
 	}
 	d.Rows[i].set(e.Column, e.Value)
 	return old, nil
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -42,7 +42,7 @@
 // Edits are atomic and do not change the document that they are applied to.
 // After any sequence of edits the table can be read, and without Force the key
 // of an operator stays valid.
-func TestEditsAreWholeAndSafe(t *testing.T) {
+func TestEditsAreAtomicAndKeepTheTableUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := testDocument()
 		for range rapid.IntRange(1, 12).Draw(t, "edits") {
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestDiffLeadsToTheWantedRows(t *testing.T) {
+func TestDiffProducesTheWantedRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, want := testDocument(), testDocument()
 		for range rapid.IntRange(0, 8).Draw(t, "edits") {
@@ -101,19 +101,19 @@
 	})
 }
 
-func TestConflictShowsBothValues(t *testing.T) {
+func TestConflictReportsBothValues(t *testing.T) {
 	is := is.New(t)
 	d, _, err := testDocument().Apply(Edit{ID: "first", By: "ann", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "9"}, testTime)
 	is.NoErr(err)
-	_, _, err = d.Apply(Edit{ID: "second", By: "bob", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "7", Was: "5", HasWas: true}, testTime)
+	_, _, err = d.Apply(Edit{ID: "second", By: "bob", Op: OpSet, Row: "unlock", Column: ColPriority, Value: "7", Expected: "5", HasExpected: true}, testTime)
 	var c *ConflictError
 	is.True(errors.As(err, &c))
 	is.Equal(*c, ConflictError{Row: "unlock", Column: ColPriority, Expected: "5", Current: "9", By: "ann"})
-	_, _, err = d.Apply(Edit{ID: "third", By: "bob", Op: OpSet, Row: "unlock", Column: ColTarget, Value: "70"}, testTime)
+	_, _, err = d.Apply(Edit{ID: "third", By: "bob", Op: OpSet, Row: "unlock", Column: ColLatencyTarget, Value: "70"}, testTime)
 	is.NoErr(err) // a change of another cell is no conflict
 }
 
-func TestClassIsTheLongestMatchAtABoundary(t *testing.T) {
+func TestClassIsTheLongestMatchAtAPathBoundary(t *testing.T) {
 	is := is.New(t)
 	d := testDocument()
 	d.Rows = append(d.Rows,
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -7,37 +7,37 @@
 
 // Account is the row of a client account, with defaults for empty cells.
 type Account struct {
-	Name      string
-	KeySHA256 string
-	Operator  bool
-	Weight    float64
-	LimitRate float64 // requests per second over all entry instances; 0 means no limit
-	LimitToks float64 // tokens per second over all entry instances; 0 means no limit
-	LimitOpen int     // open requests over all entry instances; 0 means no limit
+	Name            string
+	KeySHA256       string
+	Operator        bool
+	Weight          float64
+	LimitRate       float64 // requests per second over all entry instances; 0 means no limit
+	LimitTokens     float64 // tokens per second over all entry instances; 0 means no limit
+	LimitConcurrent int     // open requests over all entry instances; 0 means no limit
 }
 
 // Class is the row of a request class, with defaults for empty cells. See
 // Columns for the meaning of each field.
 type Class struct {
-	Name       string
-	Match      string
-	Model      string
-	Priority   int
-	Target     time.Duration // latency target, from the arrival of a request
-	Deadline   time.Duration // from the arrival of a request that sets no deadline
-	MayBeLate  bool
-	Repeatable bool
-	Recompute  float64 // cost of recomputing a prompt token, in milliseconds of lateness
-	RetryShare float64
+	Name           string
+	Match          string
+	Model          string
+	Priority       int
+	LatencyTarget  time.Duration // latency target, from the arrival of a request
+	Deadline       time.Duration // from the arrival of a request that sets no deadline
+	MayBeLate      bool
+	Repeatable     bool
+	RecomputePrice float64 // cost of recomputing a prompt token, in milliseconds of lateness
+	RetryShare     float64
 }
 
 // System holds the system-wide settings, which are in the default row.
 type System struct {
-	StopDeadline time.Duration // time for streams to finish before a planned stop moves them
-	Retention    time.Duration // of a request that may not be repeated, after its deadline
-	Records      int           // maximum number of request records at an entry instance
-	MoveKV       bool          // whether a stream that moves takes its KV cache along
-	Policy       string        // routing policy
+	StopDeadline   time.Duration // time for streams to finish before a planned stop moves them
+	Retention      time.Duration // of a request that may not be repeated, after its deadline
+	RecordCapacity int           // maximum number of request records at an entry instance
+	MoveKV         bool          // whether a stream that moves takes its KV cache along
+	Policy         string        // routing policy
 }
 
 // View is the immutable, typed form of a document.
@@ -80,11 +80,11 @@
 		}
 	}
 	v.System = System{
-		StopDeadline: parseMillis(cell(def, ColStopDeadline)),
-		Retention:    parseMillis(cell(def, ColRetention)),
-		Records:      int(parseFloat(cell(def, ColRecords))),
-		MoveKV:       parseBool(cell(def, ColMoveKV)),
-		Policy:       cell(def, ColPolicy),
+		StopDeadline:   parseMillis(cell(def, ColStopDeadline)),
+		Retention:      parseMillis(cell(def, ColRetention)),
+		RecordCapacity: int(parseFloat(cell(def, ColRecordCapacity))),
+		MoveKV:         parseBool(cell(def, ColMoveKV)),
+		Policy:         cell(def, ColPolicy),
 	}
 	return v
 }
@@ -94,28 +94,28 @@
 
 func newAccount(r Row, cell cellFunc) *Account {
 	return &Account{
-		Name:      r.Name,
-		KeySHA256: r.Get(ColKey),
-		Operator:  parseBool(r.Get(ColOperator)),
-		Weight:    parseFloat(cell(r, ColWeight)),
-		LimitRate: parseFloat(cell(r, ColLimitRate)),
-		LimitToks: parseFloat(cell(r, ColLimitToks)),
-		LimitOpen: int(parseFloat(cell(r, ColLimitOpen))),
+		Name:            r.Name,
+		KeySHA256:       r.Get(ColKey),
+		Operator:        parseBool(r.Get(ColOperator)),
+		Weight:          parseFloat(cell(r, ColWeight)),
+		LimitRate:       parseFloat(cell(r, ColLimitRate)),
+		LimitTokens:     parseFloat(cell(r, ColLimitTokens)),
+		LimitConcurrent: int(parseFloat(cell(r, ColLimitConcurrent))),
 	}
 }
 
 func newClass(r Row, cell cellFunc) *Class {
 	return &Class{
-		Name:       r.Name,
-		Match:      r.Get(ColMatch),
-		Model:      r.Get(ColModel),
-		Priority:   int(parseFloat(cell(r, ColPriority))),
-		Target:     parseMillis(cell(r, ColTarget)),
-		Deadline:   parseMillis(cell(r, ColDeadline)),
-		MayBeLate:  parseBool(cell(r, ColMayBeLate)),
-		Repeatable: parseBool(cell(r, ColRepeatable)),
-		Recompute:  parseFloat(cell(r, ColRecompute)),
-		RetryShare: parseFloat(cell(r, ColRetryShare)),
+		Name:           r.Name,
+		Match:          r.Get(ColMatch),
+		Model:          r.Get(ColModel),
+		Priority:       int(parseFloat(cell(r, ColPriority))),
+		LatencyTarget:  parseMillis(cell(r, ColLatencyTarget)),
+		Deadline:       parseMillis(cell(r, ColDeadline)),
+		MayBeLate:      parseBool(cell(r, ColMayBeLate)),
+		Repeatable:     parseBool(cell(r, ColRepeatable)),
+		RecomputePrice: parseFloat(cell(r, ColRecomputePrice)),
+		RetryShare:     parseFloat(cell(r, ColRetryShare)),
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 // ClassByName returns the class with this row name.
-func (v *View) ClassNamed(name string) (*Class, bool) {
+func (v *View) ClassByName(name string) (*Class, bool) {
 	for _, c := range v.classes {
 		if c.Name == name {
 			return c, true
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -25,18 +25,18 @@
 }
 
 // Reporter divides the running totals of one instance among the hubs that it reports to.
-type Ledger[K comparable, V Number] struct {
+type Reporter[K comparable, V Number] struct {
 	acknowledged map[Source]Counts[K, V] // totals that each hub acknowledged
 }
 
 // NewReporter returns the Reporter of an instance that has reported nothing yet.
-func NewLedger[K comparable, V Number]() *Ledger[K, V] {
-	return &Ledger[K, V]{acknowledged: make(map[Source]Counts[K, V])}
+func NewReporter[K comparable, V Number]() *Reporter[K, V] {
+	return &Reporter[K, V]{acknowledged: make(map[Source]Counts[K, V])}
 }
 
 // TotalsFor returns the totals to report to a hub: those that it acknowledged before, plus the part
 // of the instance's totals that no hub has acknowledged. Keys that are not in total are left out.
-func (l *Ledger[K, V]) Offer(hub Source, total Counts[K, V]) Counts[K, V] {
+func (l *Reporter[K, V]) TotalsFor(hub Source, total Counts[K, V]) Counts[K, V] {
 	report := maps.Clone(total)
 	if report == nil {
 		report = make(Counts[K, V])
@@ -55,33 +55,33 @@
 }
 
 // Acknowledge records that a hub received a report made by TotalsFor.
-func (l *Ledger[K, V]) Confirmed(hub Source, report Counts[K, V]) {
+func (l *Reporter[K, V]) Acknowledge(hub Source, report Counts[K, V]) {
 	merge(l.acknowledged, hub, report)
 }
 
 // Acknowledged returns the totals that a hub acknowledged. They must not be modified.
-func (l *Ledger[K, V]) Reported(hub Source) Counts[K, V] { return l.acknowledged[hub] }
+func (l *Reporter[K, V]) Acknowledged(hub Source) Counts[K, V] { return l.acknowledged[hub] }
 
 // DropKeys removes the keys for which drop returns true.
-func (l *Ledger[K, V]) Drop(drop func(K) bool) {
+func (l *Reporter[K, V]) DropKeys(drop func(K) bool) {
 	for _, counts := range l.acknowledged {
 		dropKeys(counts, drop)
 	}
 }
 
 // Aggregator sums at a hub what instances reported.
-type Pool[K comparable, V Number] struct {
+type Aggregator[K comparable, V Number] struct {
 	reported map[Source]Counts[K, V] // latest totals of each incarnation
 	sum      Counts[K, V]            // over all incarnations, including ended ones
 }
 
 // NewAggregator returns an Aggregator without counts.
-func NewPool[K comparable, V Number]() *Pool[K, V] {
-	return &Pool[K, V]{reported: make(map[Source]Counts[K, V]), sum: make(Counts[K, V])}
+func NewAggregator[K comparable, V Number]() *Aggregator[K, V] {
+	return &Aggregator[K, V]{reported: make(map[Source]Counts[K, V]), sum: make(Counts[K, V])}
 }
 
 // Apply applies the totals that an instance reports.
-func (p *Pool[K, V]) Take(from Source, totals Counts[K, V]) {
+func (p *Aggregator[K, V]) Apply(from Source, totals Counts[K, V]) {
 	previous := p.reported[from]
 	for key, v := range totals {
 		p.sum[key] += v - previous[key]
@@ -90,10 +90,10 @@
 }
 
 // Sum returns the sums over all incarnations that ever reported. They must not be modified.
-func (p *Pool[K, V]) Sum() Counts[K, V] { return p.sum }
+func (p *Aggregator[K, V]) Sum() Counts[K, V] { return p.sum }
 
 // DropKeys removes the keys for which drop returns true.
-func (p *Pool[K, V]) Drop(drop func(K) bool) {
+func (p *Aggregator[K, V]) DropKeys(drop func(K) bool) {
 	dropKeys(p.sum, drop)
 	for _, counts := range p.reported {
 		dropKeys(counts, drop)
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -10,8 +10,8 @@
 )
 
 type (
-	reporter   = Ledger[string, int64]
-	aggregator = Pool[string, int64]
+	reporter   = Reporter[string, int64]
+	aggregator = Aggregator[string, int64]
 	counts     = Counts[string, int64]
 )
 
@@ -19,13 +19,13 @@
 
 // exchange reports the totals of an instance to a hub. The call or its answer may be lost.
 func exchange(l *reporter, self, to Source, p *aggregator, total counts, callLost, answerLost bool) {
-	report := l.Offer(to, maps.Clone(total))
+	report := l.TotalsFor(to, maps.Clone(total))
 	if callLost {
 		return
 	}
-	p.Take(self, report)
+	p.Apply(self, report)
 	if !answerLost {
-		l.Confirmed(to, report)
+		l.Acknowledge(to, report)
 	}
 }
 
@@ -36,11 +36,11 @@
 		const hubs, instances = 3, 4
 		var aggregators []*aggregator
 		for range hubs {
-			aggregators = append(aggregators, NewPool[string, int64]())
+			aggregators = append(aggregators, NewAggregator[string, int64]())
 		}
 		totals, reporters := make([]counts, instances), make([]*reporter, instances)
 		for i := range instances {
-			totals[i], reporters[i] = make(counts), NewLedger[string, int64]()
+			totals[i], reporters[i] = make(counts), NewReporter[string, int64]()
 		}
 		self := func(i int) Source { return Source{Instance: fmt.Sprint("i", i), Incarnation: 1} }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -72,7 +72,7 @@
 // while the hubs are alive.
 func TestNoCountIsMissing(t *testing.T) {
 	is := is.New(t)
-	l, first, second := NewLedger[string, int64](), NewPool[string, int64](), NewPool[string, int64]()
+	l, first, second := NewReporter[string, int64](), NewAggregator[string, int64](), NewAggregator[string, int64]()
 	self := Source{"i", 1}
 	exchange(l, self, hub(0), first, counts{"a": 5}, false, true) // received, but not acknowledged
 	exchange(l, self, hub(1), second, counts{"a": 7}, false, false)
@@ -84,19 +84,19 @@
 // A restarted instance counts from zero; its earlier counts stay in the sum.
 func TestARestartedInstance(t *testing.T) {
 	is := is.New(t)
-	p := NewPool[string, int64]()
-	p.Take(Source{"i", 1}, counts{"a": 5})
-	p.Take(Source{"i", 2}, counts{"a": 1})
+	p := NewAggregator[string, int64]()
+	p.Apply(Source{"i", 1}, counts{"a": 5})
+	p.Apply(Source{"i", 2}, counts{"a": 1})
 	is.Equal(p.Sum()["a"], int64(6))
 }
 
 func TestKeysThatAreDropped(t *testing.T) {
 	is := is.New(t)
 	old := func(key string) bool { return key == "old" }
-	l, p := NewLedger[string, int64](), NewPool[string, int64]()
+	l, p := NewReporter[string, int64](), NewAggregator[string, int64]()
 	exchange(l, Source{"i", 1}, hub(0), p, counts{"old": 5, "new": 1}, false, false)
-	l.Drop(old)
-	p.Drop(old)
+	l.DropKeys(old)
+	p.DropKeys(old)
 	is.Equal(p.Sum(), counts{"new": 1})
-	is.Equal(l.Reported(hub(0)), counts{"new": 1})
+	is.Equal(l.Acknowledged(hub(0)), counts{"new": 1})
 }
