--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -20,7 +20,7 @@
 	// themselves.
 	SmallFleet = 16
 	// HubsPerHall is the number of hubs in each hall.
-	HubsInHall         = 2
+	HubsPerHall        = 2
 	minReaders         = 2 // minimum number of hubs that read the store, however few halls there are
 	maxReaders         = 3 // maximum number of them, except that larger fleets have one per instancesPerReader instances
 	instancesPerReader = 100
@@ -40,10 +40,10 @@
 // Topology is the division of tasks in a fleet, as seen by one instance. It is immutable. The zero
 // value is that of a small fleet.
 type Topology struct {
-	Hubs    []Member // in the order in which this instance asks them; empty in a small fleet
-	Self    bool     // this instance is a hub
-	Readers []Member // the hubs that read the store, in the same order, of different halls if there are enough
-	Reads   bool     // this instance is a reader
+	Hubs     []Member // in the order in which this instance asks them; empty in a small fleet
+	IsHub    bool     // this instance is a hub
+	Readers  []Member // the hubs that read the store, in the same order, of different halls if there are enough
+	IsReader bool     // this instance is a reader
 	// Standbys read the store while no reader can. They are divided into rounds of as many as there
 	// are readers. The rounds are the same for all instances, each in the order in which this
 	// instance asks.
@@ -51,16 +51,16 @@
 }
 
 // ReadsStore reports whether this instance has to read the store itself.
-func (t *Topology) Direct() bool { return t.Reads || len(t.Hubs) == 0 }
+func (t *Topology) ReadsStore() bool { return t.IsReader || len(t.Hubs) == 0 }
 
 // Hub returns a hub by its name, or the zero Member if there is none.
-func (t *Topology) Named(name string) Member {
+func (t *Topology) Hub(name string) Member {
 	hub, _ := lo.Find(t.Hubs, func(m Member) bool { return m.Name == name })
 	return hub
 }
 
 // HubNames returns the names of the hubs.
-func (t *Topology) Names() []string {
+func (t *Topology) HubNames() []string {
 	return lo.Map(t.Hubs, func(m Member, _ int) string { return m.Name })
 }
 
@@ -78,7 +78,7 @@
 		switch chosen[m.Hall]++; {
 		case chosen[m.Hall] == 1:
 			first = append(first, m)
-		case chosen[m.Hall] <= HubsInHall:
+		case chosen[m.Hall] <= HubsPerHall:
 			more = append(more, m)
 		}
 	}
@@ -86,9 +86,9 @@
 	t.Hubs = slices.Concat(first, more)
 	t.Readers = readersOf(first, more, len(all))
 	t.Standbys = standbysOf(t.Readers, slices.Concat(t.Hubs, all))
-	t.Self, t.Reads = slices.ContainsFunc(t.Hubs, isSelf), slices.ContainsFunc(t.Readers, isSelf)
+	t.IsHub, t.IsReader = slices.ContainsFunc(t.Hubs, isSelf), slices.ContainsFunc(t.Readers, isSelf)
 	order := func(a, b Member) int {
-		return cmp.Or(trueFirst(a.Hall == self.Hall, b.Hall == self.Hall), cmp.Compare(Pair(self.Name, a.Name), Pair(self.Name, b.Name)))
+		return cmp.Or(trueFirst(a.Hall == self.Hall, b.Hall == self.Hall), cmp.Compare(PairHash(self.Name, a.Name), PairHash(self.Name, b.Name)))
 	}
 	for _, list := range append([][]Member{t.Hubs, t.Readers}, t.Standbys...) {
 		slices.SortStableFunc(list, order)
@@ -153,4 +153,4 @@
 
 // PairHash returns a hash of two names. Instances order the hubs of a hall by it, which spreads them
 // over these hubs.
-func Pair(a, b string) uint64 { return xxhash.Sum64String(a + "\x00" + b) }
+func PairHash(a, b string) uint64 { return xxhash.Sum64String(a + "\x00" + b) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -25,7 +25,7 @@
 	return append(append([]Member(nil), all[:i]...), all[i+1:]...)
 }
 
-func TestAllNodesChooseTheSameHubs(t *testing.T) {
+func TestAllInstancesChooseTheSameHubs(t *testing.T) {
 	is := is.New(t)
 	all := newFleet(4, 20)
 	first := make(map[string]int) // by the hub that an instance asks first
@@ -40,10 +40,10 @@
 		for z := range 4 {
 			is.True(names[fmt.Sprintf("%d-0", z)]) // the instance of the hall with the most CPU time
 		}
-		is.Equal(top.Self, names[self.Name])
+		is.Equal(top.IsHub, names[self.Name])
 		is.Equal(top.Hubs[0].Hall, self.Hall)
 		first[top.Hubs[0].Name]++
-		if top.Self {
+		if top.IsHub {
 			count++
 		}
 	}
@@ -61,8 +61,8 @@
 		for i, self := range all {
 			top := New(self, without(all, i))
 			is.Equal(len(top.Readers), c.want)
-			if top.Reads {
-				is.True(top.Self)
+			if top.IsReader {
+				is.True(top.IsHub)
 				is.Equal(top.Readers[0].Hall, self.Hall)
 				readers[self.Hall]++
 			}
@@ -79,5 +79,5 @@
 func TestASmallFleetHasNoHubs(t *testing.T) {
 	is := is.New(t)
 	all := newFleet(4, 4)
-	is.True(New(all[0], all[1:]).Direct())
+	is.True(New(all[0], all[1:]).ReadsStore())
 }
--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -99,26 +99,26 @@
 
 // Call is one request of a caller: a model call if Model is set, otherwise a service call.
 type Call struct {
-	Class    string
-	Key      string // key of the client account
-	IdemKey  string // idempotency key; empty for a call that the caller can't repeat
-	Model    string // empty for a service call
-	User     string // identifies the conversation
-	Prompt   string
-	Max      int    // maximum number of tokens in the answer
-	Path     string // service and path of a service call
-	Body     string // of a service call
-	Deadline time.Time
+	Class          string
+	Key            string // key of the client account
+	IdempotencyKey string // idempotency key; empty for a call that the caller can't repeat
+	Model          string // empty for a service call
+	User           string // identifies the conversation
+	Prompt         string
+	MaxTokens      int    // maximum number of tokens in the answer
+	Path           string // service and path of a service call
+	Body           string // of a service call
+	Deadline       time.Time
 }
 
 // Outcome is the result of a call as its caller sees it.
 type Outcome struct {
-	Whole     bool   // the complete answer arrived
+	Complete  bool   // the complete answer arrived
 	Body      string // answer as far as it arrived
 	Accepted  bool   // a response with status 200 and a request ID arrived
-	Run       string // the field run of an error response: whether the request ran
+	RunState  string // the field run of an error response: whether the request ran
 	Status    int
-	First     time.Time // arrival of the first token, or of a service's answer
+	FirstAt   time.Time // arrival of the first token, or of a service's answer
 	EndedAt   time.Time
 	Resumes   int // connections after the first
 	RequestID string
@@ -187,7 +187,7 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		o.Err = err
-		return !o.Accepted && call.IdemKey == "" && !connectionRefused(err)
+		return !o.Accepted && call.IdempotencyKey == "" && !connectionRefused(err)
 	}
 	defer resp.Body.Close()
 	if id := resp.Header.Get("Request-Id"); id != "" && resp.StatusCode == http.StatusOK {
@@ -203,7 +203,7 @@
 			return false
 		}
 		body.Write(b)
-		o.Whole, o.Status, o.First = resp.StatusCode == http.StatusOK, resp.StatusCode, time.Now()
+		o.Complete, o.Status, o.FirstAt = resp.StatusCode == http.StatusOK, resp.StatusCode, time.Now()
 		return true
 	}
 	return readStream(resp.Body, o, body, pos)
@@ -217,7 +217,7 @@
 func (c *Client) handleRefusal(resp *http.Response, o *Outcome, refusals *int) bool {
 	var p problem
 	_ = json.NewDecoder(resp.Body).Decode(&p)
-	o.Status, o.Run, o.Err = resp.StatusCode, p.Run, fmt.Errorf("%d %s: %s", resp.StatusCode, p.Run, p.Detail)
+	o.Status, o.RunState, o.Err = resp.StatusCode, p.Run, fmt.Errorf("%d %s: %s", resp.StatusCode, p.Run, p.Detail)
 	if resp.Header.Get("Retry-After") == "0" && *refusals < maxRefusals {
 		*refusals++
 		return false
@@ -241,7 +241,7 @@
 			Max    int    `json:"max_tokens"`
 			Stream bool   `json:"stream"`
 			User   string `json:"user"`
-		}{call.Model, call.Prompt, call.Max, true, call.User})
+		}{call.Model, call.Prompt, call.MaxTokens, true, call.User})
 		req, err = http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/completions", bytes.NewReader(b))
 	default:
 		req, err = http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/services/"+call.Path, strings.NewReader(call.Body))
@@ -253,8 +253,8 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+call.Key)
 	req.Header.Set("Request-Deadline", call.Deadline.Format(time.RFC3339Nano))
-	if call.IdemKey != "" {
-		req.Header.Set("Idempotency-Key", call.IdemKey)
+	if call.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 	return req, nil
 }
@@ -280,7 +280,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			o.Whole, o.Status = true, http.StatusOK
+			o.Complete, o.Status = true, http.StatusOK
 			return true
 		}
 		var e streamEvent
@@ -289,13 +289,13 @@
 			return true
 		}
 		if e.Error != nil {
-			o.Status, o.Run, o.Err = e.Error.Status, e.Error.Run, fmt.Errorf("%s: %s", e.Error.Run, e.Error.Detail)
+			o.Status, o.RunState, o.Err = e.Error.Status, e.Error.Run, fmt.Errorf("%s: %s", e.Error.Run, e.Error.Detail)
 			// An instance that stops sends this error; the stream can be resumed at another.
 			return !strings.Contains(e.Error.Detail, "resume at another")
 		}
 		if len(e.Choices) > 0 {
 			if *pos == 0 {
-				o.First = time.Now()
+				o.FirstAt = time.Now()
 			}
 			body.WriteString(e.Choices[0].Text)
 			*pos++
--- a/internal/traffic/load.go
+++ b/internal/traffic/load.go
@@ -129,7 +129,7 @@
 // repeated runs of the same call.
 func (l *Load) callService(ctx context.Context, class deployment.Class, key, id string) {
 	_, path, _ := strings.Cut(class.Match, "/")
-	c := Call{Class: class.Name, Key: key, IdemKey: id, Path: path, Body: "op " + id, Deadline: l.deadline(class)}
+	c := Call{Class: class.Name, Key: key, IdempotencyKey: id, Path: path, Body: "op " + id, Deadline: l.deadline(class)}
 	start := time.Now()
 	o := l.client.Do(ctx, c)
 	_, servicePath, _ := strings.Cut(path, "/")
@@ -146,15 +146,15 @@
 	for turn := range max(1, t.Turns) {
 		size := max(8, int(float64(t.Prompt)*(0.5+rnd.Float64())))
 		prompt += words(rnd, size)
-		c := Call{Class: class.Name, Key: key, Model: class.Name, User: id, Prompt: prompt, Max: max(4, int(float64(t.Answer)*(0.5+rnd.Float64()))), Deadline: l.deadline(class)}
+		c := Call{Class: class.Name, Key: key, Model: class.Name, User: id, Prompt: prompt, MaxTokens: max(4, int(float64(t.Answer)*(0.5+rnd.Float64()))), Deadline: l.deadline(class)}
 		if rnd.IntN(2) == 0 {
-			c.IdemKey = fmt.Sprintf("%s/%d", id, turn)
+			c.IdempotencyKey = fmt.Sprintf("%s/%d", id, turn)
 		}
 		start := time.Now()
 		o := l.client.Do(ctx, c)
-		want := standin.Answer(c.Prompt, c.Max)
+		want := standin.Answer(c.Prompt, c.MaxTokens)
 		l.countOutcome(class, start, o, want)
-		if !o.Whole || ctx.Err() != nil {
+		if !o.Complete || ctx.Err() != nil {
 			return
 		}
 		prompt += o.Body
@@ -190,9 +190,9 @@
 	t.Sent++
 	ct.Sent++
 	t.Resumes += o.Resumes
-	took := o.First.Sub(start)
+	took := o.FirstAt.Sub(start)
 	switch {
-	case !o.Whole:
+	case !o.Complete:
 		t.Failed++
 		ct.Failed++
 		l.countFailure(class, o)
@@ -221,7 +221,7 @@
 	case o.Accepted:
 		t.Lost++
 		l.addError("%s lost %s after %d resumes: %v", class.Name, o.RequestID, o.Resumes, o.Err)
-	case o.Run == "not_run":
+	case o.RunState == "not_run":
 		t.RefusedNotRun++
 		l.addError("%s refused: %v", class.Name, o.Err)
 	default:
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -15,7 +15,7 @@
 type Counts map[string]int64
 
 // RetainedWindows is the number of windows before the current one that Expire keeps.
-const KeepWindows = 8
+const RetainedWindows = 8
 
 // WindowOf returns the number of the window that contains a time, counted from the Unix epoch.
 func WindowOf(at time.Time, window time.Duration) int64 {
@@ -28,7 +28,7 @@
 }
 
 // WindowEnd returns the end of a window.
-func End(number int64, window time.Duration) time.Time {
+func WindowEnd(number int64, window time.Duration) time.Time {
 	return time.Unix(0, (number+1)*int64(window))
 }
 
@@ -133,7 +133,7 @@
 // Restore merges records that were saved in case all instances fail at once. Where the same
 // incarnation has reported a count itself since, the larger one is kept. Records of this
 // incarnation, given by instance and incarnation, are ignored.
-func (c *Counter) Recall(records []Record, instance string, incarnation int64) {
+func (c *Counter) Restore(records []Record, instance string, incarnation int64) {
 	for _, r := range records {
 		if r.Instance == instance && r.Incarnation == incarnation {
 			continue
@@ -153,6 +153,6 @@
 
 // Expire removes windows that are more than RetainedWindows before the current one.
 func (c *Counter) Expire(current int64) {
-	maps.DeleteFunc(c.own, func(w int64, _ Counts) bool { return w < current-KeepWindows })
-	maps.DeleteFunc(c.received, func(w int64, _ map[source]Counts) bool { return w < current-KeepWindows })
+	maps.DeleteFunc(c.own, func(w int64, _ Counts) bool { return w < current-RetainedWindows })
+	maps.DeleteFunc(c.received, func(w int64, _ map[source]Counts) bool { return w < current-RetainedWindows })
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,10 +13,10 @@
 	is.Equal(WindowOf(time.Unix(10, 0), w), int64(2))
 	is.Equal(WindowOf(time.Unix(14, 999), w), int64(2))
 	is.Equal(WindowOf(time.Unix(-1, 0), w), int64(-1))
-	is.Equal(End(2, w), time.Unix(15, 0))
+	is.Equal(WindowEnd(2, w), time.Unix(15, 0))
 }
 
-func TestTheSumIsOverNodesAndIncarnations(t *testing.T) {
+func TestTheSumIsOverInstancesAndIncarnations(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	c.Add(7, "a", 2)
@@ -25,11 +25,11 @@
 	c.Apply("n1", 1, map[int64]Counts{7: {"a": 5}}) // replaces
 	c.Apply("n1", 2, map[int64]Counts{7: {"b": 1}}) // restarted
 	is.Equal(c.Sum(7, []string{"a", "b", "c"}), Counts{"a": 6, "b": 1, "c": 0})
-	c.Expire(7 + KeepWindows + 1)
+	c.Expire(7 + RetainedWindows + 1)
 	is.Equal(c.Sum(7, nil), Counts{})
 }
 
-func TestRecordsAreRecalled(t *testing.T) {
+func TestRecordsAreRestored(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	c.Add(6, "a", 1)
@@ -41,12 +41,12 @@
 	restarted := New()
 	restarted.Add(7, "a", 10)
 	restarted.Apply("n1", 5, map[int64]Counts{7: {"a": 4}}) // reported since
-	restarted.Recall(records, "n0", 9)                      // restarted
-	restarted.Recall(records, "n0", 9)                      // a repetition changes nothing
+	restarted.Restore(records, "n0", 9)                     // restarted
+	restarted.Restore(records, "n0", 9)                     // a repetition changes nothing
 	is.Equal(restarted.Sum(7, nil), Counts{"a": 10 + 2 + 4})
 
 	running := New()
 	running.Add(7, "a", 5)
-	running.Recall(records, "n0", 4) // its own counts
+	running.Restore(records, "n0", 4) // its own counts
 	is.Equal(running.Sum(7, nil), Counts{"a": 5 + 3})
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -42,18 +42,18 @@
 }
 
 // InForce returns the version in force here, 0 if there is none.
-func (t *Tracker) Own() int64 { return t.inForce.Load().version }
+func (t *Tracker) InForce() int64 { return t.inForce.Load().version }
 
 // Config returns the configuration in force here as the operators wrote it, nil if there is none.
-func (t *Tracker) Value() []byte { return t.inForce.Load().value }
+func (t *Tracker) Config() []byte { return t.inForce.Load().value }
 
 // SetInForce sets the version in force here, and the configuration as the operators wrote it.
-func (t *Tracker) Hold(version int64, value []byte) { t.inForce.Store(&config{version, value}) }
+func (t *Tracker) SetInForce(version int64, value []byte) { t.inForce.Store(&config{version, value}) }
 
 // RecordAdvertised records the version that another instance advertises. Versions that are not later
 // than the one in force here are ignored.
-func (t *Tracker) Advertised(from string, version int64, now time.Time) {
-	own := t.Own()
+func (t *Tracker) RecordAdvertised(from string, version int64, now time.Time) {
+	own := t.InForce()
 	if version <= own {
 		return
 	}
@@ -72,7 +72,7 @@
 func (t *Tracker) Missing(now time.Time, after time.Duration) (instance string, missing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.newest.version <= t.Own() || now.Sub(t.newest.since) < after {
+	if t.newest.version <= t.InForce() || now.Sub(t.newest.since) < after {
 		return "", false
 	}
 	return t.newest.instance, true
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestNoDirectSynctest fails if a test calls synctest.Test directly instead of virtual.Test.
-func TestNoOtherBubbles(t *testing.T) {
+func TestNoDirectSynctest(t *testing.T) {
 	is := is.New(t)
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".go" || filepath.Dir(path) == "../../internal/virtual" {
--- a/internal/walltime/walltime.go
+++ b/internal/walltime/walltime.go
@@ -55,12 +55,12 @@
 
 // Uncorrected returns the time of day without the correction by other instances. It is the time
 // to send to other instances: with corrected times, instances would follow one another.
-func (c *Clock) Own(now time.Time) time.Time { return c.uncorrected(now) }
+func (c *Clock) Uncorrected(now time.Time) time.Time { return c.uncorrected(now) }
 
 // AddSample adds the uncorrected time of day of another instance, received at now, and returns
 // the resulting correction: the median offset of all instances, this one included, or zero if
 // the median is within 400 ms.
-func (c *Clock) Apply(instance string, wall, now time.Time) time.Duration {
+func (c *Clock) AddSample(instance string, wall, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.samples[instance] = sample{wall.Sub(c.uncorrected(now)), now}
--- a/internal/walltime/walltime_test.go
+++ b/internal/walltime/walltime_test.go
@@ -12,19 +12,19 @@
 	now := time.Now()
 	c := New(now)
 	for _, name := range []string{"a", "b", "c"} {
-		c.Apply(name, now.Add(2*time.Second), now)
+		c.AddSample(name, now.Add(2*time.Second), now)
 	}
 	is.Equal(c.At(now).Sub(now.Round(0)).Round(time.Millisecond), 2*time.Second)
-	is.Equal(c.Own(now).Sub(now.Round(0)).Round(time.Millisecond), time.Duration(0)) // sent to others without the correction
+	is.Equal(c.Uncorrected(now).Sub(now.Round(0)).Round(time.Millisecond), time.Duration(0)) // sent to others without the correction
 }
 
-func TestOneThatIsOffIsNot(t *testing.T) {
+func TestMinorityDoesNotSetTheTimeOfDay(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	c := New(now)
-	c.Apply("a", now.Add(time.Hour), now)
-	c.Apply("b", now.Add(100*time.Millisecond), now)
-	is.Equal(c.Apply("c", now.Add(-100*time.Millisecond), now), time.Duration(0))
+	c.AddSample("a", now.Add(time.Hour), now)
+	c.AddSample("b", now.Add(100*time.Millisecond), now)
+	is.Equal(c.AddSample("c", now.Add(-100*time.Millisecond), now), time.Duration(0))
 	later := now.Add(20 * time.Second) // old samples have expired
-	is.Equal(c.Apply("d", later.Add(time.Minute), later), time.Minute)
+	is.Equal(c.AddSample("d", later.Add(time.Minute), later), time.Minute)
 }
