--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -290,7 +290,7 @@
 		child{"reports", i.pollReports},
 	))
 	root.Add(group("requests",
-		child{"updates", i.relay.PushUpdates},
+		child{"news", i.relay.PushUpdates},
 		child{"expiry", i.relay.Expire},
 		child{"claims", i.relay.PullClaims},
 	))
