--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -229,9 +229,9 @@
 		c.release(call.Endpoint.ID, k)
 		return nil, fault.New(fault.StepDispatch, call.Endpoint.ID, fault.KindTimeout, fault.NotRun, "connect: %w", context.Cause(ctx))
 	}
-	// The endpoint may have asked for a pause while the connection was made, which takes up to
+	// The endpoint may have requested a backoff while the connection was made, which takes up to
 	// dialTimeout: without this check, requests of four instances at once would go on arriving
-	// throughout the pause.
+	// throughout the backoff.
 	now := c.clock.Now()
 	if err := c.notices.Allows(&call.Endpoint, now); err != nil {
 		c.release(call.Endpoint.ID, k)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock provides a clock that includes the time for which the instance was suspended.
 //
-// Leases, freshness proofs, deadlines, back-off periods and rate-limit windows are agreed with
+// Leases, freshness proofs, deadlines, backoffs and rate-limit windows are agreed with
 // other processes and keep running while this instance is suspended. Go's monotonic clock, on
 // which time.Now, timers and contexts run, stops during a suspension. A Clock follows the
 // boot-time clock of the operating system instead. Its times can be compared with each other,
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -45,7 +45,7 @@
 const RateLimitHeader = "Rate-Limit"
 
 // Signals are what the headers of a response say about the endpoint itself: whether it is leaving,
-// asks for a pause, or limits the request rate.
+// requests a backoff, or limits the request rate.
 type Signals struct {
 	notice.Notice
 	RateLimit ratelimit.Limit
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -19,7 +19,7 @@
 }
 
 // pollReports polls the load and the cache events of each model engine until ctx ends, in longer
-// intervals in a larger fleet. Engines that asked for a pause are left out.
+// intervals in a larger fleet. Engines that requested a backoff are left out.
 //
 // TODO: every instance polls every engine, which does not scale to 330 instances;
 // docs/CAPACITY.md names the replacement.
@@ -37,7 +37,7 @@
 				p = &reportCursor{}
 			}
 			current[e] = p
-			if e.Paused(i.opts.Clock.Now()) || !calls.Begin(e) {
+			if e.InBackoff(i.opts.Clock.Now()) || !calls.Begin(e) {
 				continue
 			}
 			wait.Go(func() {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -79,7 +79,7 @@
 	FrontEndpointRestarted       Code = 516
 	FrontEndpointWithheld        Code = 517
 	FrontEndpointReportedLeaving Code = 518
-	FrontEndpointBackOff         Code = 519
+	FrontEndpointBackoff         Code = 519
 	FrontEndpointRateLimit       Code = 520
 	OlderEndpointIgnored         Code = 521
 	InstanceJoined               Code = 311
@@ -90,7 +90,7 @@
 	EndpointLeaving              Code = 502
 	EndpointGone                 Code = 503
 	EndpointEjected              Code = 504
-	EndpointBackOff              Code = 507
+	EndpointBackoff              Code = 507
 	EndpointRateLimit            Code = 508
 	KVMoved                      Code = 505
 	KVMoveFailed                 Code = 506
@@ -169,7 +169,7 @@
 	{FrontEndpointRestarted, zap.InfoLevel, "endpoint restarted", "A later incarnation of the endpoint accepts requests. Its ID ends with the Unix time of its start in milliseconds. State recorded for the previous incarnation does not apply to it."},
 	{FrontEndpointWithheld, zap.WarnLevel, "endpoint withheld", "The entry names an older incarnation of the endpoint than the newest known one, or names none, as after a delayed write or a write by another writer. The endpoint gets no new requests. An older incarnation is accepted once the entry has been unchanged for 5 s."},
 	{FrontEndpointReportedLeaving, zap.InfoLevel, "endpoint reported that it is leaving", "An answer of the endpoint says that it is leaving. It gets no new requests from this instance from now on, whatever the store says. listed tells whether the store still listed it as accepting requests."},
-	{FrontEndpointBackOff, zap.InfoLevel, "endpoint requested back-off", "The endpoint rejected a request and asked this instance to send none until the given time. Logged once for each back-off period."},
+	{FrontEndpointBackoff, zap.InfoLevel, "endpoint requested a backoff", "The endpoint rejected a request and asked this instance to send none until the given time. Logged once for each backoff."},
 	{FrontEndpointRateLimit, zap.InfoLevel, "rate limit of an endpoint changed", "The endpoint (server) accepts this number of requests per second (to, if limited is true) from all instances together. by_peer tells that another instance reported the limit, and not an answer to this one."},
 	{OlderEndpointIgnored, zap.InfoLevel, "older endpoint entry ignored", "The entry was read at a revision below one already known for the endpoint, and had no effect."},
 	{InstanceJoined, zap.InfoLevel, "instance joined", "Another instance registered itself, or is reported by others while the store has lost registrations."},
@@ -180,7 +180,7 @@
 	{EndpointLeaving, zap.InfoLevel, "endpoint leaving", "The endpoint gets no new calls."},
 	{EndpointGone, zap.InfoLevel, "endpoint gone", "The endpoint was removed from the list or its deadline passed."},
 	{EndpointEjected, zap.WarnLevel, "endpoint ejected", "Consecutive calls to the endpoint failed; it gets no calls for a while."},
-	{EndpointBackOff, zap.InfoLevel, "endpoint requested back-off", "The endpoint rejected a call and asked this instance to send none until the given time. Logged once for each back-off period."},
+	{EndpointBackoff, zap.InfoLevel, "endpoint requested a backoff", "The endpoint rejected a call and asked this instance to send none until the given time. Logged once for each backoff."},
 	{EndpointRateLimit, zap.InfoLevel, "rate limit of an endpoint changed", "The endpoint accepts this number of calls per second (to, if limited is true) from all instances together. by_peer tells that another instance reported the limit, and not an answer to this one."},
 	{KVMoved, zap.InfoLevel, "KV cache moved", "The KV cache of a stream was imported by another endpoint."},
 	{KVMoveFailed, zap.WarnLevel, "KV cache move failed", "The stream continues by recomputing its KV cache."},
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -191,7 +191,7 @@
 	if errors.As(err, &throttled) {
 		// A client that retries sooner may reach another instance, which may have an endpoint for it.
 		wait := min(max(waitRetry, h.Clock.Until(throttled.Until)), waitNoEndpoint)
-		return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "all endpoints asked for a pause or are at their rate limit", wait: wait}
+		return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "all endpoints requested a backoff or are at their rate limit", wait: wait}
 	}
 	return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "no endpoint", wait: waitNoEndpoint}
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -112,15 +112,15 @@
 // Error implements error.
 func (e *LimitError) Error() string { return overLimit(e.Verdict) }
 
-// ThrottledError reports that every endpoint of a service that accepts requests either asked this
-// instance to pause or is at its rate limit.
+// ThrottledError reports that every endpoint of a service that accepts requests either requested a
+// backoff of this instance or is at its rate limit.
 type ThrottledError struct {
 	Until time.Time // when the first of them accepts a request of this instance again
 }
 
 // Error implements error.
 func (e *ThrottledError) Error() string {
-	return "all endpoints asked for a pause or are at their rate limit until " + e.Until.Format(time.RFC3339Nano)
+	return "all endpoints requested a backoff or are at their rate limit until " + e.Until.Format(time.RFC3339Nano)
 }
 
 // Unwrap makes the error match ErrNoEndpoint.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -392,7 +392,7 @@
 		n.state.send(announcedLeaving{endpoint.ID})
 	}
 	if announced.Backoff > 0 {
-		n.event(event.FrontEndpointBackOff, zap.String("server", endpoint.ID), zap.Duration("rest", announced.Backoff), zap.Time("until", until))
+		n.event(event.FrontEndpointBackoff, zap.String("server", endpoint.ID), zap.Duration("rest", announced.Backoff), zap.Time("until", until))
 	}
 }
 
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -30,7 +30,7 @@
 }
 
 // unavailable returns the ids of those endpoints to which this instance may not send now:
-// endpoints that announced in their answers that they leave, that asked for a pause, or
+// endpoints that announced in their answers that they leave, that requested a backoff, or
 // whose rate limit is used up. opensAt is when the first of them accepts requests again; it
 // is zero if none does.
 func (n *Instance) unavailable(endpoints []registry.Endpoint, now time.Time) (ids []string, opensAt time.Time) {
--- a/internal/front/placing.go
+++ b/internal/front/placing.go
@@ -82,8 +82,8 @@
 const maxAvoid = 64
 
 // place chooses one of the endpoints to which this instance may send now. Endpoints are
-// unavailable while they announce that they leave, ask for a pause, or are at their rate
-// limit.
+// unavailable while they announce that they leave, during a backoff that they requested, and
+// while they are at their rate limit.
 func (p *placer) place(ctx context.Context, endpoints []registry.Endpoint, r *balance.Request, until, now time.Time) (*balance.Ticket, error) {
 	excluded, opensAt := p.instance.unavailable(endpoints, now)
 	if len(excluded) == len(endpoints) && !opensAt.IsZero() {
--- a/internal/front/ratelimit_test.go
+++ b/internal/front/ratelimit_test.go
@@ -130,7 +130,7 @@
 }
 
 // Limits rise, fall and are lifted while the store fails, instances are killed and endpoints
-// ask for pauses. No endpoint gets more requests than its limit allows.
+// request backoffs. No endpoint gets more requests than its limit allows.
 func TestRandomRateLimits(t *testing.T) {
 	for seed := range seeds() {
 		for _, instances := range []int{4, largeFleet} {
@@ -162,9 +162,9 @@
 		case x < 0.012:
 			w.limits.lift(endpoint)
 		case x < 0.02:
-			w.statements.asksRest(endpoint, time.Duration(rnd.ExpFloat64()*float64(time.Second)))
+			w.statements.requestsBackoff(endpoint, time.Duration(rnd.ExpFloat64()*float64(time.Second)))
 		case x < 0.05:
-			w.statements.asksRest(endpoint, 0)
+			w.statements.requestsBackoff(endpoint, 0)
 		case x < 0.06:
 			w.setFaults(storetest.Faults{Down: true}, name)
 		case x < 0.08:
--- a/internal/front/statements_test.go
+++ b/internal/front/statements_test.go
@@ -18,31 +18,31 @@
 // pair is an instance and an endpoint.
 type pair struct{ instance, endpoint string }
 
-// restPeriod is a pause during which an endpoint wants no requests from an instance.
-type restPeriod struct {
+// backoffPeriod is a period for which an endpoint asked an instance to send it no requests.
+type backoffPeriod struct {
 	asked, until time.Time
 	requests     int // that arrived after restGrace
 }
 
 const (
-	restGrace       = 500 * time.Millisecond // an instance that was asked for a pause may go on sending for this long
-	maxRestRequests = 2                      // requests that may still arrive during a pause
+	backoffGrace       = 500 * time.Millisecond // an instance that was asked for a backoff may go on sending for this long
+	maxBackoffRequests = 2                      // requests that may still arrive during a backoff
 )
 
 // endpointNotices simulates the notices that endpoints put into their answers (leaving, or
-// asking for a pause), and checks the requests that still reach them. The id of a request
+// requesting a backoff), and checks the requests that still reach them. The id of a request
 // begins with the name of the instance that it is sent to.
 type endpointNotices struct {
 	mu          sync.Mutex
-	leaving     map[string]bool          // endpoints that announce that they leave; guarded by mu
-	restFor     map[string]time.Duration // length of the pause that endpoints ask for while they refuse requests; guarded by mu
-	fails       map[string]bool          // endpoints that run requests and fail them; guarded by mu
-	announcedAt map[pair]time.Time       // when an answer first announced to an instance that an endpoint leaves; guarded by mu
-	rests       map[pair][]*restPeriod   // guarded by mu
+	leaving     map[string]bool           // endpoints that announce that they leave; guarded by mu
+	backoffFor  map[string]time.Duration  // length of the backoff that endpoints request while they refuse requests; guarded by mu
+	fails       map[string]bool           // endpoints that run requests and fail them; guarded by mu
+	announcedAt map[pair]time.Time        // when an answer first announced to an instance that an endpoint leaves; guarded by mu
+	backoffs    map[pair][]*backoffPeriod // guarded by mu
 }
 
 func newEndpointNotices() *endpointNotices {
-	return &endpointNotices{leaving: make(map[string]bool), restFor: make(map[string]time.Duration), fails: make(map[string]bool), announcedAt: make(map[pair]time.Time), rests: make(map[pair][]*restPeriod)}
+	return &endpointNotices{leaving: make(map[string]bool), backoffFor: make(map[string]time.Duration), fails: make(map[string]bool), announcedAt: make(map[pair]time.Time), backoffs: make(map[pair][]*backoffPeriod)}
 }
 
 // pairOf returns the endpoint with the instance that a request id names.
@@ -65,15 +65,15 @@
 	s.leaving[endpoint] = false
 	matches := func(p pair) bool { return p.endpoint == endpoint }
 	maps.DeleteFunc(s.announcedAt, func(p pair, _ time.Time) bool { return matches(p) })
-	maps.DeleteFunc(s.rests, func(p pair, _ []*restPeriod) bool { return matches(p) })
+	maps.DeleteFunc(s.backoffs, func(p pair, _ []*backoffPeriod) bool { return matches(p) })
 }
 
-// asksRest makes an endpoint refuse requests and ask for a pause, or accept requests if the
-// pause is 0.
-func (s *endpointNotices) asksRest(endpoint string, d time.Duration) {
+// requestsBackoff makes an endpoint refuse requests and request a backoff, or accept requests if
+// the backoff is 0.
+func (s *endpointNotices) requestsBackoff(endpoint string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.restFor[endpoint] = d
+	s.backoffFor[endpoint] = d
 }
 
 // failsAll makes an endpoint fail all requests that it runs.
@@ -89,7 +89,7 @@
 	defer s.mu.Unlock()
 	matches := func(p pair) bool { return p.instance == instance }
 	maps.DeleteFunc(s.announcedAt, func(p pair, _ time.Time) bool { return matches(p) })
-	maps.DeleteFunc(s.rests, func(p pair, _ []*restPeriod) bool { return matches(p) })
+	maps.DeleteFunc(s.backoffs, func(p pair, _ []*backoffPeriod) bool { return matches(p) })
 }
 
 // arrives checks a request at an endpoint against the endpoint's notices, and returns the
@@ -101,12 +101,12 @@
 	if announced, ok := s.announcedAt[p]; ok && now.Sub(announced) > bound {
 		bad = append(bad, fmt.Sprintf("%s reached %s %s after an answer announced that it leaves", id, endpoint, now.Sub(announced)))
 	}
-	for _, r := range s.rests[p] {
-		if now.Sub(r.asked) <= restGrace || !now.Before(r.until) {
+	for _, r := range s.backoffs[p] {
+		if now.Sub(r.asked) <= backoffGrace || !now.Before(r.until) {
 			continue
 		}
-		if r.requests++; r.requests > maxRestRequests {
-			bad = append(bad, fmt.Sprintf("%s reached %s as request %d in a pause of %s", id, endpoint, r.requests, r.until.Sub(r.asked)))
+		if r.requests++; r.requests > maxBackoffRequests {
+			bad = append(bad, fmt.Sprintf("%s reached %s as request %d in a backoff of %s", id, endpoint, r.requests, r.until.Sub(r.asked)))
 		}
 	}
 	return bad
@@ -124,7 +124,7 @@
 			s.announcedAt[p] = now
 		}
 	}
-	d := s.restFor[endpoint]
+	d := s.backoffFor[endpoint]
 	h.Set("Id", id)
 	if s.fails[endpoint] {
 		h.Set("Seal", "of "+endpoint)
@@ -135,7 +135,7 @@
 	}
 	h.Set("Not-Run", "1")
 	h.Set("Rest", d.String())
-	s.rests[p] = append(s.rests[p], &restPeriod{asked: now, until: now.Add(d)})
+	s.backoffs[p] = append(s.backoffs[p], &backoffPeriod{asked: now, until: now.Add(d)})
 	return http.StatusServiceUnavailable
 }
 
@@ -190,50 +190,50 @@
 	}
 }
 
-// Guards against ignoring the pause that an endpoint asks for. Endpoints of a plain service
+// Guards against ignoring the backoff that an endpoint requests. Endpoints of a plain service
 // fail some requests; one of them refuses requests and says for how long. An instance that
 // counts this as a failure like the others' keeps sending: three requests of one instance in
-// a pause of 3 s.
-func TestAnEndpointThatAskedForAPauseGetsNoRequests(t *testing.T) {
+// a backoff of 3 s.
+func TestAnEndpointThatRequestedABackoffGetsNoRequests(t *testing.T) {
 	for _, instances := range []int{3, largeFleet} {
 		for _, failing := range []bool{true, false} {
 			runCluster(t, instances, func(is *is.I, w *testCluster) {
-				w.statements.asksRest(endpointID(0), 3*time.Second)
+				w.statements.requestsBackoff(endpointID(0), 3*time.Second)
 				for i := 1; failing && i < testEndpoints; i++ {
 					w.statements.failsAll(endpointID(i))
 				}
 				answered := w.askAround("a", 6*time.Second)
 				is.Equal(len(w.seenBad()), 0)
 				is.True(failing || answered >= 280) // of 300: the other two take all
-				w.statements.asksRest(endpointID(0), 0)
+				w.statements.requestsBackoff(endpointID(0), 0)
 				time.Sleep(3 * time.Second)
-				pauseOverAt := time.Now()
+				backoffOverAt := time.Now()
 				w.askAround("b", 12*time.Second)
-				is.True(w.lastRequestAt(endpointID(0)).After(pauseOverAt)) // it gets requests again
+				is.True(w.lastRequestAt(endpointID(0)).After(backoffOverAt)) // it gets requests again
 			})
 		}
 	}
 }
 
-// All endpoints ask for a pause: they get no requests, and clients are answered at once with
+// All endpoints request a backoff: they get no requests, and clients are answered at once with
 // the time after which to retry.
-func TestAllEndpointsAskForAPause(t *testing.T) {
+func TestAllEndpointsRequestABackoff(t *testing.T) {
 	runCluster(t, 2, func(is *is.I, w *testCluster) {
 		for i := range testEndpoints {
-			w.statements.asksRest(endpointID(i), 2*time.Second)
+			w.statements.requestsBackoff(endpointID(i), 2*time.Second)
 		}
 		w.askAround("a", 4*time.Second)
 		is.Equal(len(w.seenBad()), 0)
 		for i := range testEndpoints {
-			w.statements.asksRest(endpointID(i), 0)
+			w.statements.requestsBackoff(endpointID(i), 0)
 		}
 		time.Sleep(2 * time.Second)
 		is.True(w.askAround("b", time.Second) >= 48)
 	})
 }
 
-// Endpoints announce that they leave before, after or without their entry in the store, ask
-// for pauses of any length, and accept requests again, while the store fails and instances are
+// Endpoints announce that they leave before, after or without their entry in the store, request
+// backoffs of any length, and accept requests again, while the store fails and instances are
 // killed or restart. No endpoint gets requests that its notices exclude.
 func TestRandomNotices(t *testing.T) {
 	for seed := range uint64(4) {
@@ -266,9 +266,9 @@
 			w.statements.startsAgain(endpointID(endpoint))
 			w.putIncarnation(endpoint, time.Now(), false)
 		case x < 0.05:
-			w.statements.asksRest(endpointID(endpoint), time.Duration(rnd.ExpFloat64()*float64(2*time.Second)))
+			w.statements.requestsBackoff(endpointID(endpoint), time.Duration(rnd.ExpFloat64()*float64(2*time.Second)))
 		case x < 0.1:
-			w.statements.asksRest(endpointID(endpoint), 0)
+			w.statements.requestsBackoff(endpointID(endpoint), 0)
 		case x < 0.11:
 			w.setFaults(storetest.Faults{Down: true}, name)
 		case x < 0.12:
--- a/internal/front/world_test.go
+++ b/internal/front/world_test.go
@@ -42,8 +42,8 @@
 	if text := h.Get("Limit"); text != "" {
 		a.RateLimit = ratelimit.Parse(text)
 	}
-	if rest, err := time.ParseDuration(h.Get("Rest")); err == nil && status == http.StatusServiceUnavailable {
-		a.Notice.Backoff = rest
+	if backoff, err := time.ParseDuration(h.Get("Rest")); err == nil && status == http.StatusServiceUnavailable {
+		a.Notice.Backoff = backoff
 	}
 	return a
 }
--- a/internal/relay/engines.go
+++ b/internal/relay/engines.go
@@ -104,8 +104,8 @@
 			return
 		}
 		chain := prefix.Chain(class.Model, string(rec.Body))
-		if home[0].Paused(r.Clock.Now()) || home[0].Blocks.Held(chain) == len(chain) {
-			continue // it asked for a pause, or another instance moved the cache of a later turn
+		if home[0].InBackoff(r.Clock.Now()) || home[0].Blocks.Held(chain) == len(chain) {
+			continue // it requested a backoff, or another instance moved the cache of a later turn
 		}
 		moves <- struct{}{}
 		x, err := r.Endpoints.Import(ctx, home[0].Addr, endpoint.Import{Request: rec.ID, From: e.Endpoint.Addr}, r.Observer(home[0]))
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -167,7 +167,7 @@
 
 // Observer returns a function that applies the signals in the response to a request that is sent
 // now. An endpoint that is leaving gets no new requests, whether the instance list says so or not.
-// One that asked for a pause gets no calls until the pause ends. One that announces a rate limit
+// One that requested a backoff gets no calls until the backoff ends. One that announces a rate limit
 // gets no more requests than that.
 func (r *Relay) Observer(e *route.Endpoint) endpoint.Observe {
 	sent := r.Clock.Now()
@@ -181,8 +181,8 @@
 			return
 		}
 		until := now.Add(n.Backoff)
-		if e.PauseUntil(until, now) {
-			r.event(event.EndpointBackOff, zap.String("endpoint", e.ID), zap.Duration("rest", n.Backoff), zap.Time("until", until))
+		if e.SetBackoff(until, now) {
+			r.event(event.EndpointBackoff, zap.String("endpoint", e.ID), zap.Duration("rest", n.Backoff), zap.Time("until", until))
 		}
 	}
 }
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -45,7 +45,7 @@
 	meanCallTime        atomic.Int64 // moving average of the duration of service calls, in nanoseconds
 	consecutiveFailures atomic.Int64
 	ejectedUntil        atomic.Int64 // outlier ejection: no new work before this time, in Unix nanoseconds
-	pausedUntil         atomic.Int64 // no calls before this time at the request of the endpoint, in Unix nanoseconds
+	backoffUntil        atomic.Int64 // end of the backoff that the endpoint requested, in Unix nanoseconds
 }
 
 // NewEndpoint returns an endpoint with no load and default token times. blocks is
@@ -127,29 +127,29 @@
 	return n == ejectionThreshold
 }
 
-// PauseUntil stops all calls to the endpoint until the given time, as the endpoint
+// SetBackoff stops all calls to the endpoint until the given time, because the endpoint
 // requested in an answer. An earlier time than one already set has no effect. It
-// reports whether the endpoint was not paused before.
-func (e *Endpoint) PauseUntil(until, now time.Time) bool {
+// reports whether no backoff was in force before.
+func (e *Endpoint) SetBackoff(until, now time.Time) bool {
 	for {
-		old := e.pausedUntil.Load()
+		old := e.backoffUntil.Load()
 		if until.UnixNano() <= old {
 			return false
 		}
-		if e.pausedUntil.CompareAndSwap(old, until.UnixNano()) {
+		if e.backoffUntil.CompareAndSwap(old, until.UnixNano()) {
 			return old <= now.UnixNano()
 		}
 	}
 }
 
-// Paused reports whether the endpoint requested that no calls be made for now.
-// This includes requests for load reports.
-func (e *Endpoint) Paused(now time.Time) bool { return now.UnixNano() < e.pausedUntil.Load() }
+// InBackoff reports whether a backoff that the endpoint requested is in force: no calls
+// are made to it, not even to read its load report.
+func (e *Endpoint) InBackoff(now time.Time) bool { return now.UnixNano() < e.backoffUntil.Load() }
 
 // Unavailable reports whether the endpoint gets no work for now, because it is
-// ejected or paused. The status shows such an endpoint as resting.
+// ejected or in a backoff. The status shows such an endpoint as resting.
 func (e *Endpoint) Unavailable(now time.Time) bool {
-	return now.UnixNano() < e.ejectedUntil.Load() || e.Paused(now)
+	return now.UnixNano() < e.ejectedUntil.Load() || e.InBackoff(now)
 }
 
 // Hall holds the endpoints of a pool that are in one hall.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -41,9 +41,9 @@
 }
 
 // Accepts reports whether an endpoint accepts calls from this instance now: it is
-// not paused and not at its rate limit.
+// not in a backoff and not at its rate limit.
 func (r *Request) Accepts(e *Endpoint, now time.Time) bool {
-	return !e.Paused(now) && (r.Limits == nil || r.Limits.Allows(e.Key, now))
+	return !e.InBackoff(now) && (r.Limits == nil || r.Limits.Allows(e.Key, now))
 }
 
 // eligible reports whether an endpoint is a candidate for the request: it accepts
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -119,15 +119,15 @@
 	}
 }
 
-// A pause requested by an endpoint lasts until its end for every policy: neither a
+// A backoff requested by an endpoint lasts until its end for every policy: neither a
 // successful call, a failure nor an earlier end time shortens it.
-func TestRequestedPauseIsKept(t *testing.T) {
+func TestRequestedBackoffIsKept(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := testPool(1, 1)
 	e := p.at(0)
-	is.True(e.PauseUntil(now.Add(3*time.Second), now))
-	is.True(!e.PauseUntil(now.Add(time.Second), now))
+	is.True(e.SetBackoff(now.Add(3*time.Second), now))
+	is.True(!e.SetBackoff(now.Add(time.Second), now))
 	e.Succeeded(time.Millisecond)
 	e.Failed(now)
 	for _, name := range []string{PolicyDefault, PolicyRoundRobin, PolicyLeastLoaded, PolicySessionHash} {
@@ -136,7 +136,7 @@
 		_, ok = New(name).Choose(p, &Request{}, now.Add(3*time.Second))
 		is.True(ok)
 	}
-	is.True(e.PauseUntil(now.Add(9*time.Second), now.Add(5*time.Second))) // a new pause
+	is.True(e.SetBackoff(now.Add(9*time.Second), now.Add(5*time.Second))) // a new backoff
 }
 
 func TestPoolKeepsOneIncarnation(t *testing.T) {
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -25,7 +25,7 @@
 // behavior holds the faults injected into an endpoint. The zero value injects none.
 type behavior struct {
 	leaving     bool          // announces in its responses that it is leaving
-	rest        time.Duration // refuses all requests and asks callers to pause for this long
+	backoff     time.Duration // refuses all requests and requests a backoff of this length
 	rateLimit   string        // value of the rate limit header; empty for none
 	refuse      float64       // share of requests refused before they run
 	fail        float64       // share of requests answered with status 500
@@ -146,7 +146,7 @@
 	if free {
 		defer e.releaseSlot()
 	}
-	if !free || b.rest > 0 || rand.Float64() < b.refuse {
+	if !free || b.backoff > 0 || rand.Float64() < b.refuse {
 		e.refuse(w, in, b)
 		return
 	}
@@ -156,12 +156,12 @@
 
 // refuse answers 503 and marks the request as not run.
 func (e *endpoint) refuse(w http.ResponseWriter, in platformtest.Incoming, b behavior) {
-	e.setHead(w.Header(), in, b, platformtest.Head{RequestID: in.ID, NotRun: true, RestFor: b.rest})
+	e.setHead(w.Header(), in, b, platformtest.Head{RequestID: in.ID, NotRun: true, RestFor: b.backoff})
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // setHead sets the response headers, including the state that the endpoint announces (leaving, rate
-// limit, pause), and records that announcement for the checker.
+// limit, backoff), and records that announcement for the checker.
 func (e *endpoint) setHead(h http.Header, in platformtest.Incoming, b behavior, head platformtest.Head) {
 	head.Leaving, head.RateLimit = b.leaving, b.rateLimit
 	head.Load = [3]int{0, 0, slots}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -27,7 +27,7 @@
 	Revoke            Kind = "revoke"         // the operator revokes a key of a client account
 	Leave             Kind = "leave"          // an endpoint leaves and is replaced
 	LeaveQuietly      Kind = "leave-quietly"  // as Leave, but announced only in the endpoint's responses
-	Rest              Kind = "rest"           // an endpoint refuses all requests and asks callers to pause
+	Backoff           Kind = "rest"           // an endpoint refuses all requests and requests a backoff
 	Limit             Kind = "limit"          // an endpoint announces a rate limit, and changes it
 	Refuse            Kind = "refuse"         // an endpoint refuses some requests
 	Fail              Kind = "fail"           // one endpoint or all of a service fail most requests
@@ -46,7 +46,7 @@
 // Kinds lists all kinds of faults. Schedule seeds a kind's generator with its position here.
 var Kinds = []Kind{
 	Stop, Kill, Pause, StoreDown, StoreRefuses, StoreSlow, StoreLosesAnswers, StoreCompacts, StoreSilent, CloudDown, Configure, Revoke,
-	Leave, LeaveQuietly, Rest, Limit, Refuse, Fail, Hang, LoseAnswers, Crash, Deadly, GiveUp, Burst, LinkSlow, LinkReset, LinkSilent, StoreRestored,
+	Leave, LeaveQuietly, Backoff, Limit, Refuse, Fail, Hang, LoseAnswers, Crash, Deadly, GiveUp, Burst, LinkSlow, LinkReset, LinkSilent, StoreRestored,
 }
 
 // Action is one scheduled fault. At counts from the start of the traffic.
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -138,8 +138,8 @@
 	switch a.Kind {
 	case Leave, LeaveQuietly:
 		r.recordError(r.world.retire(ctx, e, a.Kind == LeaveQuietly))
-	case Rest:
-		during(func(b *behavior) { b.rest = time.Second }, func(b *behavior) { b.rest = 0 })
+	case Backoff:
+		during(func(b *behavior) { b.backoff = time.Second }, func(b *behavior) { b.backoff = 0 })
 	case Refuse:
 		during(func(b *behavior) { b.refuse = 0.5 }, func(b *behavior) { b.refuse = 0 })
 	case Fail:
