--- a/internal/front/admission.go
+++ b/internal/front/admission.go
@@ -171,12 +171,12 @@
 // exchange counts by hub group.
 func (n *Instance) grouped() bool { return len(n.state.members.topology().Hubs) > 0 }
 
-// resume resets the token buckets after this instance was suspended for long: the other
+// resume resets the token buckets after a long stall of this instance: the other
 // instances may have used what accrued in the meantime.
 func (a *admission) resume(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quota.ResetAfterPause(a.currentLimits(), now)
+	a.quota.ResetAfterStall(a.currentLimits(), now)
 }
 
 // forget drops what a peer reported, both for itself and for its group.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -82,11 +82,11 @@
 	level    float64
 	at       time.Time
 	adopted  bool // the level was taken over from an instance that has warmed up
-	periodic bool // it is refilled several times a second, so that a longer gap is a pause of this process
+	periodic bool // it is refilled several times a second, so that a longer gap is a stall of this process
 }
 
 // maxRefill bounds the time for which a bucket is refilled in one call. A longer gap means that
-// this process was paused, and the other instances may have used what was added meanwhile.
+// this process was stalled, and the other instances may have used what was added meanwhile.
 const maxRefill = time.Second
 
 // refill adds what the limit grants for the time since the last call.
@@ -160,7 +160,7 @@
 	instanceCount int // running instances, as far as this one knows
 	lastTick      time.Time
 	warmSince     time.Time        // first update of an instance that has warmed up
-	resumedAt     time.Time        // end of the last long pause of this process; zero if there was none
+	resumedAt     time.Time        // end of the last long stall of this process; zero if there was none
 	resumeLimits  map[string]Limit // limits in force at resumedAt
 }
 
@@ -344,9 +344,9 @@
 	l.capDebts(now)
 }
 
-// capDebts bounds debts by one burst for WarmUp after a pause of this process. Updates may then
-// come from instances that were paused as well: these first report totals from before the pause,
-// and later all that was admitted since, for which the time of the pause has already paid.
+// capDebts bounds debts by one burst for WarmUp after a stall of this process. Updates may then
+// come from instances that were stalled as well: these first report totals from before the stall,
+// and later all that was admitted since, for which the time of the stall has already paid.
 func (l *Limiter) capDebts(now time.Time) {
 	if l.resumedAt.IsZero() || now.Sub(l.resumedAt) > WarmUp {
 		return
@@ -396,11 +396,11 @@
 	}
 }
 
-// ResetAfterPause empties the buckets after a long pause of this process, as at its start: the
-// others may have used whatever was added meanwhile, and if all were paused, each of them would
+// ResetAfterStall empties the buckets after a long stall of this process, as at its start: the
+// others may have used whatever was added meanwhile, and if all were stalled, each of them would
 // use the whole of it. Of a debt at most one burst is kept: anything beyond is what the others
 // admitted for time that this bucket was never refilled for.
-func (l *Limiter) ResetAfterPause(limits map[string]Limit, now time.Time) {
+func (l *Limiter) ResetAfterStall(limits map[string]Limit, now time.Time) {
 	for _, a := range l.accounts {
 		a.bucket = bucket{level: min(0, a.bucket.level), at: now, periodic: true}
 		a.unpropagated, a.lastTight = 0, now
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -441,9 +441,9 @@
 	}
 }
 
-// All instances were paused for so long that their buckets would be full, and receive the updates of
+// All instances were stalled for so long that their buckets would be full, and receive the updates of
 // each other only later.
-func TestPausedInstancesStartWithEmptyBuckets(t *testing.T) {
+func TestStalledInstancesStartWithEmptyBuckets(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 40, Burst: 80}
 	now := time.Unix(1000, 0)
@@ -451,15 +451,15 @@
 	l.SetInstances(4)
 	is.True(l.Admit("north", limit, 1, now).OK)
 	now = now.Add(20 * time.Second)
-	l.ResetAfterPause(map[string]Limit{"north": limit}, now)
+	l.ResetAfterStall(map[string]Limit{"north": limit}, now)
 	is.True(!l.Admit("north", limit, 1, now).OK) // what the others admitted is not known here
 	is.Equal(l.Admitted()["north"], 1.0)         // others count further from this total
 	now = now.Add(time.Second)
 	is.True(l.Admit("north", limit, 1, now).OK)
 }
 
-// An instance that was paused applies what the others admitted meanwhile, before it detects the pause.
-func TestDebtAfterAPauseIsBoundByOneBurst(t *testing.T) {
+// An instance that was stalled applies what the others admitted meanwhile, before it detects the stall.
+func TestDebtAfterAStallIsBoundByOneBurst(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 40, Burst: 80}
 	now := time.Unix(1000, 0)
@@ -472,16 +472,16 @@
 	is.True(l.Admit("north", limit, 1, now).OK)
 	now = now.Add(20 * time.Second)
 	l.Apply(update(900), now)
-	l.ResetAfterPause(map[string]Limit{"north": limit}, now)
+	l.ResetAfterStall(map[string]Limit{"north": limit}, now)
 	l.Apply(update(910), now.Add(200*time.Millisecond))
 	l.Refill(map[string]Limit{"north": limit}, now.Add(time.Second))
 	l.Refill(map[string]Limit{"north": limit}, now.Add(2*time.Second))
 	is.True(l.Admit("north", limit, 1, now.Add(3*time.Second)).OK) // a debt of one burst is paid off in 2 s
 }
 
-// An instance that was paused first receives totals from before the pause, of a peer that was paused
+// An instance that was stalled first receives totals from before the stall, of a peer that was stalled
 // as well, and then the current ones.
-func TestOldTotalsAfterAPauseAreNoDebt(t *testing.T) {
+func TestOldTotalsAfterAStallAreNoDebt(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]Limit{"north": {Rate: 40, Burst: 80}}
 	now := time.Unix(1000, 0)
@@ -489,7 +489,7 @@
 	l.SetInstances(2)
 	is.True(l.Admit("north", limits["north"], 1, now).OK)
 	now = now.Add(20 * time.Second)
-	l.ResetAfterPause(limits, now)
+	l.ResetAfterStall(limits, now)
 	for _, admitted := range []float64{100, 900, 910} {
 		now = now.Add(300 * time.Millisecond)
 		l.Refill(limits, now)
