--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,12 +1,12 @@
-// Package duty elects a leader: at most one instance at a time holds the duty, which is the right
-// to act on behalf of all instances.
+// Package duty elects a leader: at most one instance at a time acts on behalf of all instances. A
+// duty is work that only the leader does, such as reporting usage and ordering endpoints.
 //
-// The holder has a key in the store that is bound to a lease. It acts only until a deadline of its
+// The leader has a key in the store that is bound to a lease. It acts only until a deadline of its
 // own, which lies well before the earliest time at which the lease can expire and is counted from
 // when the last renewal was sent. So it has stopped acting before another instance can get the
 // key. Its fence, a fencing token, is the revision at which the key was written; it rises with each
-// holder and whenever the store is restored. A holder's lease is never revoked but left to expire,
-// so that a lease's time passes between two holders. After a restore of the store no instance
+// leader and whenever the store is restored. A leader's lease is never revoked but left to expire,
+// so that a lease's time passes between two leaders. After a restore of the store no instance
 // takes the key for that time.
 package duty
 
@@ -24,7 +24,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Token identifies the holder to the receiver of an order, which rejects orders with a lower fence
+// Token identifies the leader to the receiver of an order, which rejects orders with a lower fence
 // than it has seen.
 type Token struct {
 	Holder string
@@ -39,7 +39,7 @@
 
 // Timing of the election.
 const (
-	guardFraction    = 0.25                  // of the lease's TTL; a holder stops acting this long before the lease can expire
+	guardFraction    = 0.25                  // of the lease's TTL; a leader stops acting this long before the lease can expire
 	renewFraction    = 0.3                   // of the lease's TTL, after which the lease is renewed
 	campaignDelayMin = 20 * time.Millisecond // random delays keep instances from campaigning at once
 	campaignDelayMax = 250 * time.Millisecond
@@ -65,12 +65,12 @@
 	Eligible func() bool
 }
 
-// Elector campaigns for a duty and holds it. Token and ObserveKey are safe for concurrent use.
+// Elector campaigns for the leader lease and renews it. Token and ObserveKey are safe for concurrent use.
 type Elector struct {
 	Options
 	keyFreed chan struct{} // signals that the key was deleted; buffered, with room for one
 
-	// The store's latest era, and when the last holder of an earlier era has stopped acting. Used by
+	// The store's latest era, and when the last leader of an earlier era has stopped acting. Used by
 	// Run only.
 	era                 int64
 	earlierErasExpireAt time.Time
@@ -87,7 +87,7 @@
 }
 
 // Token returns this instance's token and when it must stop acting. The last result reports whether
-// it holds the duty at the time now.
+// it is the leader at the time now.
 func (e *Elector) Token(now time.Time) (Token, time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// acquired records that this instance holds the duty until a time.
+// acquired records that this instance is the leader until a time.
 func (e *Elector) acquired(fence store.Revision, until time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +118,7 @@
 	e.token, e.actUntil = Token{e.Instance, fence}, until
 }
 
-// lost records that this instance no longer holds the duty.
+// lost records that this instance is no longer the leader.
 func (e *Elector) lost(why string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,13 +126,13 @@
 	event.Log(e.Log, event.LeaseLost, zap.Int64("fence", int64(e.token.Fence)), zap.String("why", why))
 }
 
-// deadline returns when a holder must stop acting whose lease was granted or renewed by a call sent
+// deadline returns when a leader must stop acting whose lease was granted or renewed by a call sent
 // at a time.
 func (e *Elector) deadline(sent time.Time) time.Time {
 	return sent.Add(e.TTL - time.Duration(guardFraction*float64(e.TTL)))
 }
 
-// Run campaigns for the duty, and renews the lease while this instance holds it, until ctx ends.
+// Run campaigns for the leader lease, and renews it while this instance is the leader, until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !e.awaitKeyFree(ctx) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// earlierErasExpired reports whether every holder of an earlier era has stopped acting. A restored
-// store may lack the key of a holder, which acts until shortly before its lease would have expired.
+// earlierErasExpired reports whether every leader of an earlier era has stopped acting. A restored
+// store may lack the key of a leader, which acts until shortly before its lease would have expired.
 func (e *Elector) earlierErasExpired() bool {
 	now := e.Clock.Now()
 	if era := e.Store.Era(); era != e.era {
@@ -267,7 +267,7 @@
 	return item.Revision, e.ownsKey(item, lease), err
 }
 
-// renew renews the lease until the duty is lost or ctx ends.
+// renew renews the lease until it is lost or ctx ends.
 func (e *Elector) renew(ctx context.Context, lease int64, fence store.Revision) {
 	pause := time.Duration(renewFraction * float64(e.TTL))
 	for {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -90,15 +90,15 @@
 	})
 }
 
-// Under random kills, outages, refusals and lost or late writes there are never two holders at a
+// Under random kills, outages, refusals and lost or late writes there are never two leaders at a
 // time, and fences only rise.
-func TestNeverTwoHolders(t *testing.T) {
+func TestNeverTwoLeaders(t *testing.T) {
 	for seed := range uint64(30) {
 		virtual.Test(t, func(t *testing.T) { runRandomFaults(t, seed, func(*rand.Rand, *storetest.Store) {}) })
 	}
 }
 
-func TestNeverTwoHoldersAcrossRestoresOfTheStore(t *testing.T) {
+func TestNeverTwoLeadersAcrossRestoresOfTheStore(t *testing.T) {
 	for seed := range uint64(60) {
 		virtual.Test(t, func(t *testing.T) {
 			var backups []storetest.Backup
@@ -116,7 +116,7 @@
 }
 
 // runRandomFaults runs four electors under the random faults of a seed, calls perStep at each step,
-// and fails the test if two hold the duty at a time or a fence falls.
+// and fails the test if two are leaders at a time or a fence falls.
 func runRandomFaults(t *testing.T, seed uint64, perStep func(*rand.Rand, *storetest.Store)) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	s := storetest.New()
@@ -124,7 +124,7 @@
 	contenders := make(map[string]*contender)
 	incarnation := 0
 	var fence store.Revision
-	holder, acted := "", 0
+	leader, acted := "", 0
 	for range 1200 {
 		time.Sleep(50 * time.Millisecond)
 		perStep(rnd, s)
@@ -135,7 +135,7 @@
 			}
 		}
 		now := time.Now()
-		holders := 0
+		leaders := 0
 		for _, name := range names {
 			if contenders[name] == nil {
 				continue
@@ -144,15 +144,15 @@
 			if !ok {
 				continue
 			}
-			holders++
+			leaders++
 			acted++
-			if token.Fence < fence || token.Fence == fence && holder != name {
-				t.Fatalf("seed %d: %s acts with fence %d after %s with %d", seed, name, token.Fence, holder, fence)
+			if token.Fence < fence || token.Fence == fence && leader != name {
+				t.Fatalf("seed %d: %s acts with fence %d after %s with %d", seed, name, token.Fence, leader, fence)
 			}
-			fence, holder = token.Fence, name
+			fence, leader = token.Fence, name
 		}
-		if holders > 1 {
-			t.Fatalf("seed %d: %d holders", seed, holders)
+		if leaders > 1 {
+			t.Fatalf("seed %d: %d leaders", seed, leaders)
 		}
 		injectFault(rnd, s, contenders, names)
 	}
--- a/internal/duty/suspend_test.go
+++ b/internal/duty/suspend_test.go
@@ -13,11 +13,11 @@
 	"github.com/shelfcrank/shelfcrank/internal/virtual"
 )
 
-// Guards against orders of an old holder that reach the platform after orders of the next one. It
-// happens when the holder is suspended for longer than its lease and another instance takes the
-// duty, if the holder counts its deadline by Go's monotonic clock, which stops during a suspension:
+// Guards against orders of an old leader that reach the platform after orders of the next one. It
+// happens when the leader is suspended for longer than its lease and another instance becomes the
+// leader, if the first counts its deadline by Go's monotonic clock, which stops during a suspension:
 // it then goes on under the old fence until its next renewal, up to 2.25 s later.
-func TestAHolderThatWasSuspendedIsSilent(t *testing.T) {
+func TestALeaderThatWasSuspendedIsSilent(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 20 * time.Second} {
 		virtual.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -31,7 +31,7 @@
 				b.stop()
 				time.Sleep(testTTL)
 			}()
-			for range 2 { // a may or may not get the duty back before the second suspension
+			for range 2 { // a may or may not be the leader again before the second suspension
 				host.Suspend()
 				s.SetFaults("a", storetest.Faults{Frozen: true})
 				time.Sleep(d)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -297,9 +297,9 @@
 	return root
 }
 
-// watchClock runs the clock, which detects that this process was stalled or its host suspended and then
-// ends the contexts whose deadline has passed meanwhile, and logs each such resumption. Received
-// state needs no handling then: its age shows that it is stale and must be received again.
+// watchClock runs the clock, which detects that this process was stalled or its host suspended and
+// then ends the contexts whose deadline has passed meanwhile, and logs each such resumption.
+// Received state needs no handling then: its age shows that it is stale and must be received again.
 func (i *Instance) watchClock(ctx context.Context) error {
 	c := i.opts.Clock
 	if c == nil {
--- a/internal/front/restored_test.go
+++ b/internal/front/restored_test.go
@@ -211,9 +211,9 @@
 				time.Sleep(4 * time.Second)
 				backup := w.store.Backup()
 				w.burnRevisions(40)
-				holder := w.leader()
-				w.kill(holder)
-				w.start(holder)
+				leader := w.leader()
+				w.kill(leader)
+				w.start(leader)
 				for i := range 200 {
 					time.Sleep(50 * time.Millisecond)
 					w.ask(fmt.Sprint("n", i%instances), "/once/a", "k1", fmt.Sprint("r", i))
@@ -233,19 +233,19 @@
 }
 
 func TestUsageIsReportedOnceAcrossARestoreOfTheStore(t *testing.T) {
-	for name, fate := range map[string]func(w *testCluster, holder string){
-		"the holder goes on":       func(*testCluster, string) {},
-		"the holder is killed":     func(w *testCluster, holder string) { w.kill(holder) },
-		"the holder is cut off":    func(w *testCluster, holder string) { w.setFaults(storetest.Faults{Refuse: true}, holder) },
+	for name, fate := range map[string]func(w *testCluster, leader string){
+		"the leader goes on":       func(*testCluster, string) {},
+		"the leader is killed":     func(w *testCluster, leader string) { w.kill(leader) },
+		"the leader is cut off":    func(w *testCluster, leader string) { w.setFaults(storetest.Faults{Refuse: true}, leader) },
 		"all instances are killed": func(w *testCluster, _ string) { w.killAndStart(runningNames(w)...) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runCluster(t, 4, func(is *is.I, w *testCluster) {
 				window := w.instances["n0"].instance.Settings.Bounds.UsageWindow()
 				time.Sleep(8 * time.Second)
-				holder := w.leader()
+				leader := w.leader()
 				late := "n1" // its counts reach the others only after the restore
-				if holder == late {
+				if leader == late {
 					late = "n2"
 				}
 				time.Sleep(time.Until(time.Now().Truncate(window).Add(window)))
@@ -254,12 +254,12 @@
 				for i := range 40 {
 					time.Sleep(50 * time.Millisecond)
 					w.ask(late, "/safe/a", "k1", fmt.Sprint("late", i))
-					w.ask(holder, "/safe/a", "k1", fmt.Sprint("soon", i))
+					w.ask(leader, "/safe/a", "k1", fmt.Sprint("soon", i))
 				}
 				time.Sleep(time.Until(time.Now().Truncate(window).Add(window + 2*time.Second)))
 				w.cutOff(late, false)
 				w.restore(backup, 300*time.Millisecond)
-				fate(w, holder)
+				fate(w, leader)
 				time.Sleep(3 * window)
 				w.cloud.mu.Lock()
 				defer w.cloud.mu.Unlock()
--- a/internal/front/rollouts_test.go
+++ b/internal/front/rollouts_test.go
@@ -345,11 +345,11 @@
 // within the bounds all the same, and a good one completed.
 func TestRolloutsUnderFaults(t *testing.T) {
 	faults := map[string]func(w *testCluster){
-		"holder killed": func(w *testCluster) {
+		"leader killed": func(w *testCluster) {
 			time.Sleep(2500 * time.Millisecond)
 			w.killAndStart(w.leader())
 		},
-		"holder killed in the shift": func(w *testCluster) {
+		"leader killed in the shift": func(w *testCluster) {
 			for w.recordPhase() == rollout.Trial {
 				time.Sleep(50 * time.Millisecond)
 			}
--- a/internal/rollctl/lead.go
+++ b/internal/rollctl/lead.go
@@ -34,22 +34,22 @@
 
 // Host is the instance that a Leader belongs to.
 type Host interface {
-	// Acting returns a context that ends before this instance must stop acting as the holder of
-	// the duty, and its token. The last result is false if it is not the holder.
+	// Acting returns a context that ends before this instance must stop acting as the leader,
+	// and its token. The last result is false if it is not the leader.
 	Acting(ctx context.Context) (context.Context, context.CancelFunc, duty.Token, bool)
 	WallTime(now time.Time) time.Time                              // the wall-clock time at now
 	Rollouts() []ServiceRollout                                    // of all services that have one
 	Instances() int                                                // number of running instances, including this one
 	Aggregation() Aggregation                                      // how the counts of all instances are summed here
 	OpenRequests() map[string]int                                  // number of this instance's open requests, by endpoint
-	DutyKey() string                                               // key of the duty in the store
+	DutyKey() string                                               // key of the leader in the store
 	RecordKey(service string) string                               // key of a service's record in the store
 	RecordWritten(r rollout.Record, at store.Revision)             // called when a record was written at a revision
 	Status(r rollout.Record) (key string, value []byte, err error) // status for operators, to be written to the store
 	Event(c event.Code, fields ...zap.Field)                       // logs an event
 }
 
-// Leader advances the roll-outs while its instance holds the duty.
+// Leader advances the roll-outs while its instance is the leader.
 type Leader struct {
 	Host    Host
 	Control *Control
@@ -82,7 +82,7 @@
 	}
 }
 
-// evaluateAll evaluates and advances each roll-out once, if this instance holds the duty.
+// evaluateAll evaluates and advances each roll-out once, if this instance is the leader.
 func (l *Leader) evaluateAll(ctx context.Context) {
 	call, cancel, token, ok := l.Host.Acting(ctx)
 	if !ok {
@@ -194,8 +194,8 @@
 	return out
 }
 
-// write writes a record to the store, with its status for operators, if this instance still holds
-// the duty and nobody else has written the record meanwhile.
+// write writes a record to the store, with its status for operators, if this instance is still the
+// leader and nobody else has written the record meanwhile.
 func (l *Leader) write(ctx context.Context, token duty.Token, k ServiceRollout, r rollout.Record, v rollout.Verdict) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -211,7 +211,7 @@
 		Put:    []store.Put{{Key: key, Value: value}, {Key: statusKey, Value: status}},
 	})
 	if errors.Is(err, store.ErrConflict) {
-		return nil // another holder wrote, or the answer to an earlier write was lost; the watch delivers the stored record
+		return nil // another leader wrote, or the answer to an earlier write was lost; the watch delivers the stored record
 	}
 	if err != nil {
 		return fmt.Errorf("write the roll-out record of service %s: %w", r.Service, err)
--- a/internal/rollctl/rollctl.go
+++ b/internal/rollctl/rollctl.go
@@ -1,7 +1,7 @@
 // Package rollctl implements an instance's part in the roll-outs of package rollout. Every instance
 // sends its share of requests to the version on trial, counts the outcomes at both versions, and
-// shares the counts with the other instances (Control). The holder of the duty also advances the
-// roll-outs (Leader).
+// shares the counts with the other instances (Control). The leader also advances the roll-outs
+// (Leader).
 //
 // An instance sends requests to a version on trial only while it has a permit, a short lease that
 // the leader renews continually. An instance that is cut off from the leader, or whose leader is
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -42,7 +42,7 @@
 	wait             sync.WaitGroup
 }
 
-// cloud simulates the cloud API. It records the usage that holders of duties report.
+// cloud simulates the cloud API. It records the usage that leaders report.
 type cloud struct {
 	record *recorder
 	down   atomic.Bool
