--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -72,7 +72,7 @@
 // writes it only if these are more than half of the entry instances that the platform lists, or if
 // late is true. Otherwise an instance with a wrong certificate, which the store accepts but no other
 // instance does, could write a first view of its own when many processes start at once, and that
-// view could be replaced only once its keepers are no longer listed.
+// view could be replaced only once its replicas are no longer listed.
 func (i *Instance) writeFirstView(ctx context.Context, reached []claim.Member, late bool) {
 	if 2*len(reached) > lo.CountBy(*i.list.Load(), isServingEntry) || late {
 		i.writeView(ctx, (&claim.View{}).Next(reached))
@@ -85,9 +85,9 @@
 }
 
 // viewReplaceable reports whether the view may be replaced without losing claims that could still be saved.
-// Each shard needs a majority of keepers that are alive, to pass its claims on. If a shard lacks
-// one only because some keepers do not answer, the view stays: they may be cut off, and their claims
-// are available again when the network recovers. A keeper counts as lost when the platform no longer
+// Each shard needs a majority of replicas that are alive, to pass its claims on. If a shard lacks
+// one only because some replicas do not answer, the view stays: they may be cut off, and their claims
+// are available again when the network recovers. A replica counts as lost when the platform no longer
 // lists it or its name lives on as another incarnation. If a majority is lost, the claims are lost
 // anyway and the view may be replaced.
 func (i *Instance) viewReplaceable(s *control.Snapshot) bool {
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -176,7 +176,7 @@
 }
 
 // locate finds the owner of a record. It uses the local copy if that names another living
-// instance. Else it asks the keepers of the id's shard, or all instances in a fleet of at most
+// instance. Else it asks the replicas of the id's shard, or all instances in a fleet of at most
 // member.FullMesh others. The second result is false if no instance holds the record.
 func (r *Relay) locate(ctx context.Context, id string) (location, bool) {
 	s := r.snapshot()
@@ -203,7 +203,7 @@
 }
 
 // candidates returns the instances to ask for a record: all that are not dead in a small fleet,
-// else the keepers of the id's shard.
+// else the replicas of the id's shard.
 func (r *Relay) candidates(s *control.Snapshot, id string) []member.Member {
 	if len(s.Members) <= member.FullMeshLimit {
 		var out []member.Member
@@ -226,8 +226,8 @@
 	return out
 }
 
-// chooseLocation chooses among the answers and this keeper's own claim: first a record with its result,
-// then one whose owner is not dead. found has the answers by the index in asked, nil for none.
+// chooseLocation chooses among the answers and this replica's own claim: first a record with its
+// result, then one whose owner is not dead. found has the answers by the index in asked, nil for none.
 func (r *Relay) chooseLocation(s *control.Snapshot, id string, asked []member.Member, found []*peerpb.FindAnswer) (location, bool) {
 	var best location
 	ok := false
@@ -243,9 +243,9 @@
 			best, ok = p, true
 		}
 	}
-	r.keeperMu.Lock()
-	c, voted := r.keeper.Lookup(id, r.Clock.Now())
-	r.keeperMu.Unlock()
+	r.replicaMu.Lock()
+	c, voted := r.replica.Lookup(id, r.Clock.Now())
+	r.replicaMu.Unlock()
 	if voted {
 		consider(location{owner: c.Owner, digest: c.Digest, claimed: true})
 	}
--- a/internal/relay/handle.go
+++ b/internal/relay/handle.go
@@ -92,7 +92,7 @@
 }
 
 // applyUpdate applies the owner's progress to a second copy. An update that names an attempt carries
-// the result of a request that may not be repeated, for the keepers of its claim.
+// the result of a request that may not be repeated, for the replicas of its claim.
 func (r *Relay) applyUpdate(u *peerpb.Update, from string) {
 	if u.Attempt != "" {
 		r.finishClaim(u.Id, u.Attempt)
@@ -114,16 +114,16 @@
 	if rec, ok := r.store.Get(id); ok && rec.Owner() != "" {
 		return &peerpb.FindAnswer{Found: true, Owner: rec.Owner(), Done: rec.Done(), Voted: !rec.Repeatable, Digest: rec.Digest}
 	}
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	if c, ok := r.keeper.Lookup(id, r.Clock.Now()); ok {
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	if c, ok := r.replica.Lookup(id, r.Clock.Now()); ok {
 		return &peerpb.FindAnswer{Found: true, Owner: c.Owner, Voted: true, Digest: c.Digest}
 	}
 	return &peerpb.FindAnswer{}
 }
 
-// sendClaims installs a newer view and sends this keeper's claims to a keeper of that view. The
-// order matters: after the installation this keeper gives no votes in the old view.
+// sendClaims installs a newer view and sends this replica's claims to a replica of that view. The
+// order matters: after the installation this replica gives no votes in the old view.
 func (r *Relay) sendClaims(ctx context.Context, p *peerpb.Pull, to string, answer func(*peerpb.Answer) error) error {
 	v, err := claim.DecodeView(p.View)
 	if err != nil {
@@ -131,9 +131,9 @@
 	}
 	r.InstallView(v)
 	r.Control.Send(ctx, control.ViewRead{View: v})
-	r.keeperMu.Lock()
-	t, ok := r.keeper.Transfer(to, p.Epoch)
-	r.keeperMu.Unlock()
+	r.replicaMu.Lock()
+	t, ok := r.replica.Transfer(to, p.Epoch)
+	r.replicaMu.Unlock()
 	if !ok {
 		return fault.New(fault.StepPeer, to, fault.KindRefused, fault.NotRun, "this instance has installed another view")
 	}
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -28,7 +28,7 @@
 )
 
 // secondCopyCandidates returns the instances that may hold the second copy of a record, best
-// first: the keepers of the id's shard, then all others, rotated by shard to spread the load.
+// first: the replicas of the id's shard, then all others, rotated by shard to spread the load.
 // Instances in this hall are left out unless all instances are in one hall.
 func (r *Relay) secondCopyCandidates(s *control.Snapshot, id string) []member.Member {
 	oneHall := s.Halls() < 2
@@ -110,20 +110,20 @@
 	return fault.New(fault.StepHold, "", fault.KindRefused, notRunIf(rec.GeneratedID), "no instance in another hall accepted a second copy: %w", lastErr).WithRetryAt(r.Clock.Now().Add(retryAfter))
 }
 
-// voteCount counts the keepers' answers to one attempt to claim a key.
+// voteCount counts the replicas' answers to one attempt to claim a key.
 type voteCount struct {
 	self       string // ID of the entry instance that makes the attempt
 	granted    []string
-	taken      map[string]int // number of keepers that voted for another attempt, by that attempt
+	taken      map[string]int // number of replicas that voted for another attempt, by that attempt
 	conflict   bool
-	unknown    int            // keepers that may have lost earlier claims
-	newerEpoch uint64         // highest epoch of the keepers with a newer view than this instance
-	newerAddr  netip.AddrPort // address of that keeper
+	unknown    int            // replicas that may have lost earlier claims
+	newerEpoch uint64         // highest epoch of the replicas with a newer view than this instance
+	newerAddr  netip.AddrPort // address of that replica
 	done       bool           // a taken key's attempt has ended with a result
 }
 
 // acceptWithClaim claims the key of a request that may not be repeated, and starts the request. It
-// starts it only after a majority of the keepers of the key's shard have recorded this attempt.
+// starts it only after a majority of the replicas of the key's shard have recorded this attempt.
 // The error is errTaken if another attempt has the key.
 func (r *Relay) acceptWithClaim(ctx context.Context, rec *record.Record) error {
 	if r.Switches.NoClaim {
@@ -152,7 +152,7 @@
 			}
 		}
 		if !r.Clock.Now().Before(limit) || ctx.Err() != nil {
-			return fault.New(fault.StepClaim, "", fault.KindTimeout, notRunIf(rec.GeneratedID), "no majority of the keepers of the key voted for the attempt in time").WithRetryAt(r.Clock.Now().Add(retryAfter))
+			return fault.New(fault.StepClaim, "", fault.KindTimeout, notRunIf(rec.GeneratedID), "no majority of the replicas of the key voted for the attempt in time").WithRetryAt(r.Clock.Now().Add(retryAfter))
 		}
 		pause := claimPause + time.Duration(r.random()%uint64(claimPause))
 		select {
@@ -164,7 +164,7 @@
 
 // afterLostVote decides what follows an attempt without a majority. done is true if a further attempt
 // is useless; err then says why, and is errTaken if another attempt has the key, whose answer the
-// caller gets. A keeper with a newer view is asked for it first.
+// caller gets. A replica with a newer view is asked for it first.
 func (r *Relay) afterLostVote(rec *record.Record, group []claim.Member, b voteCount) (done bool, err error) {
 	if b.newerEpoch > 0 {
 		r.FetchFrom(b.newerAddr)
@@ -187,13 +187,13 @@
 // errTaken means that another attempt has the key or owns the request; its answer is followed.
 var errTaken = fault.New(fault.StepClaim, "", fault.KindConflict, fault.MayHaveRun, "another attempt has the key")
 
-// requestVotes asks all keepers of a shard for their votes in parallel, and returns when a majority has
-// granted them or all have answered or timed out.
+// requestVotes asks all replicas of a shard for their votes in parallel, and returns when a majority
+// has granted them or all have answered or timed out.
 func (r *Relay) requestVotes(ctx context.Context, rec *record.Record, v *claim.View, group []claim.Member, attempt string, lapse time.Time) voteCount {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	head := peer.ToHead(rec)
-	answers := make(chan keeperAnswer, len(group))
+	answers := make(chan replicaAnswer, len(group))
 	for _, k := range group {
 		go func() { answers <- r.requestVote(ctx, k, head, v.Epoch, attempt, lapse) }()
 	}
@@ -208,24 +208,24 @@
 	return b
 }
 
-type keeperAnswer struct {
+type replicaAnswer struct {
 	from   claim.Member
-	answer *peerpb.HoldAnswer // nil when the keeper did not answer
+	answer *peerpb.HoldAnswer // nil when the replica did not answer
 }
 
-func (r *Relay) requestVote(ctx context.Context, k claim.Member, head *peerpb.Record, epoch uint64, attempt string, lapse time.Time) keeperAnswer {
+func (r *Relay) requestVote(ctx context.Context, k claim.Member, head *peerpb.Record, epoch uint64, attempt string, lapse time.Time) replicaAnswer {
 	hold := &peerpb.Hold{Record: head, Attempt: attempt, Epoch: epoch, Lapse: peer.ToUnixNano(lapse)}
 	if k.ID == r.Self {
-		return keeperAnswer{k, r.vote(hold)}
+		return replicaAnswer{k, r.vote(hold)}
 	}
 	a, err := r.Peers.Call(ctx, k.Addr, &peerpb.Call{Body: &peerpb.Call_Hold{Hold: hold}})
 	if err != nil {
-		return keeperAnswer{from: k}
+		return replicaAnswer{from: k}
 	}
-	return keeperAnswer{k, a.GetHold()}
+	return replicaAnswer{k, a.GetHold()}
 }
 
-func (b *voteCount) count(a keeperAnswer) {
+func (b *voteCount) count(a replicaAnswer) {
 	if a.answer == nil {
 		return
 	}
@@ -235,7 +235,7 @@
 	case peerpb.HoldAnswer_TAKEN:
 		if a.answer.Owner == b.self && !a.answer.Done {
 			// The vote is for an earlier attempt of this instance that was abandoned: the
-			// keeper voted after the call had timed out, and the release is on its way.
+			// replica voted after the call had timed out, and the release is on its way.
 			return
 		}
 		b.taken[a.answer.Attempt]++
@@ -251,16 +251,16 @@
 	}
 }
 
-// vote answers a request for this instance's vote as a keeper.
+// vote answers a request for this instance's vote as a replica.
 func (r *Relay) vote(h *peerpb.Hold) *peerpb.HoldAnswer {
 	now := r.Clock.Now()
 	m := h.Record
-	r.keeperMu.Lock()
-	a := r.keeper.Vote(claim.VoteRequest{
+	r.replicaMu.Lock()
+	a := r.replica.Vote(claim.VoteRequest{
 		Epoch: h.Epoch, Key: m.Id, Attempt: h.Attempt, Owner: m.Owner,
 		ExpiresAt: peer.FromUnixNano(h.Lapse), Digest: m.Digest, GeneratedKey: m.Fresh,
 	}, now)
-	r.keeperMu.Unlock()
+	r.replicaMu.Unlock()
 	out := &peerpb.HoldAnswer{Epoch: a.Epoch, Owner: a.Claim.Owner, Attempt: a.Claim.Attempt, Done: a.Claim.Done}
 	switch a.Outcome {
 	case claim.Granted:
@@ -279,8 +279,8 @@
 	return out
 }
 
-// releaseVotes makes the keepers take back their votes for an attempt that has run nothing. Calls to
-// other keepers are sent in the background, once each.
+// releaseVotes makes the replicas take back their votes for an attempt that has run nothing. Calls to
+// other replicas are sent in the background, once each.
 func (r *Relay) releaseVotes(rec *record.Record, group []claim.Member, attempt string, lapse time.Time) {
 	for _, k := range group {
 		if k.ID == r.Self {
@@ -297,8 +297,8 @@
 
 const maxPublishAttempts = 5
 
-// publishResult sends the result of a request that may not be repeated to the keepers of its
-// claim, so that a repeat at any entry instance gets that result. Calls to other keepers run in the
+// publishResult sends the result of a request that may not be repeated to the replicas of its
+// claim, so that a repeat at any entry instance gets that result. Calls to other replicas run in the
 // background, with up to maxPublishAttempts attempts each.
 func (r *Relay) publishResult(rec *record.Record) {
 	p, _ := rec.Progress(0)
@@ -327,31 +327,31 @@
 }
 
 func (r *Relay) releaseClaim(id, attempt string, lapse time.Time) {
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	r.keeper.Release(id, attempt, lapse)
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	r.replica.Release(id, attempt, lapse)
 }
 
 func (r *Relay) finishClaim(id, attempt string) {
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	r.keeper.Finish(id, attempt)
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	r.replica.Finish(id, attempt)
 }
 
-// InstallView makes the keeper use a view if it is newer than the installed one. PullClaims then
-// collects the claims that the keeper lacks in it.
+// InstallView makes the replica use a view if it is newer than the installed one. PullClaims then
+// collects the claims that the replica lacks in it.
 func (r *Relay) InstallView(v *claim.View) {
 	s := r.snapshot()
 	retention := defaultRetention
 	if s.Table != nil {
 		retention = s.Table.System.Retention
 	}
-	r.keeperMu.Lock()
-	moved := r.keeper.Install(v, r.Clock.Now(), retention)
+	r.replicaMu.Lock()
+	moved := r.replica.Install(v, r.Clock.Now(), retention)
 	if moved {
 		r.installedAt = r.Clock.Now()
 	}
-	r.keeperMu.Unlock()
+	r.replicaMu.Unlock()
 	if moved {
 		r.event(event.ViewInstalled, zap.Uint64("epoch", v.Epoch), zap.Int("members", len(v.Members)))
 	}
@@ -361,7 +361,7 @@
 
 const pullInterval = 150 * time.Millisecond
 
-// PullClaims asks the old keepers for the claims that this keeper lacks, until ctx ends. It logs
+// PullClaims asks the old replicas for the claims that this replica lacks, until ctx ends. It logs
 // when more shards may have lost claims than before.
 func (r *Relay) PullClaims(ctx context.Context) error {
 	t := time.NewTicker(pullInterval)
@@ -373,10 +373,10 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		r.keeperMu.Lock()
-		missing, view := r.keeper.PendingTransfers(), r.keeper.View()
-		n := r.keeper.UnknownShards(r.Clock.Now())
-		r.keeperMu.Unlock()
+		r.replicaMu.Lock()
+		missing, view := r.replica.PendingTransfers(), r.replica.View()
+		n := r.replica.UnknownShards(r.Clock.Now())
+		r.replicaMu.Unlock()
 		if n > unknown {
 			r.event(event.ClaimsUncertain, zap.Int("shards", n))
 		}
@@ -414,9 +414,9 @@
 			r.storeResult(c.Head, c.Result, from.ID)
 		}
 	}
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	r.keeper.Receive(from.ID, t)
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	r.replica.Receive(from.ID, t)
 }
 
 // storeResult stores the request and the result of a claim that this instance keeps.
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -10,8 +10,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/record"
 )
 
-func answerOf(outcome peerpb.HoldAnswer_Outcome, owner, attempt string, done bool) keeperAnswer {
-	return keeperAnswer{answer: &peerpb.HoldAnswer{Outcome: outcome, Owner: owner, Attempt: attempt, Done: done}}
+func answerOf(outcome peerpb.HoldAnswer_Outcome, owner, attempt string, done bool) replicaAnswer {
+	return replicaAnswer{answer: &peerpb.HoldAnswer{Outcome: outcome, Owner: owner, Attempt: attempt, Done: done}}
 }
 
 func TestVoteCounts(t *testing.T) {
@@ -23,18 +23,18 @@
 	)
 	for _, tt := range []struct {
 		name    string
-		answers []keeperAnswer
+		answers []replicaAnswer
 		final   bool
 		follow  bool // another attempt's answer is followed
 	}{
-		{"another attempt has the majority of votes", []keeperAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "b", "b/1", false)}, true, true},
-		{"another attempt ran", []keeperAnswer{answerOf(taken, "b", "b/1", true)}, true, true},
-		{"two attempts share the votes", []keeperAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "c", "c/1", false)}, false, false},
-		{"an abandoned own attempt", []keeperAnswer{answerOf(taken, "a", "a/1", false), answerOf(taken, "a", "a/1", false)}, false, false},
-		{"an own attempt that ran", []keeperAnswer{answerOf(taken, "a", "a/1", true)}, true, true},
-		{"claims may be lost", []keeperAnswer{answerOf(unknown, "", "", false), answerOf(unknown, "", "", false)}, true, false},
-		{"one granted, others silent", []keeperAnswer{answerOf(held, "", "", false), {}, {}}, false, false},
-		{"not ready yet", []keeperAnswer{answerOf(notReady, "", "", false), answerOf(notReady, "", "", false)}, false, false},
+		{"another attempt has the majority of votes", []replicaAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "b", "b/1", false)}, true, true},
+		{"another attempt ran", []replicaAnswer{answerOf(taken, "b", "b/1", true)}, true, true},
+		{"two attempts share the votes", []replicaAnswer{answerOf(taken, "b", "b/1", false), answerOf(taken, "c", "c/1", false)}, false, false},
+		{"an abandoned own attempt", []replicaAnswer{answerOf(taken, "a", "a/1", false), answerOf(taken, "a", "a/1", false)}, false, false},
+		{"an own attempt that ran", []replicaAnswer{answerOf(taken, "a", "a/1", true)}, true, true},
+		{"claims may be lost", []replicaAnswer{answerOf(unknown, "", "", false), answerOf(unknown, "", "", false)}, true, false},
+		{"one granted, others silent", []replicaAnswer{answerOf(held, "", "", false), {}, {}}, false, false},
+		{"not ready yet", []replicaAnswer{answerOf(notReady, "", "", false), answerOf(notReady, "", "", false)}, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/relay/leave.go
+++ b/internal/relay/leave.go
@@ -17,8 +17,8 @@
 	leavePollInterval     = 30 * time.Millisecond
 	handoverShare         = 0.5                     // share of the notice period in which requests may still end here; after it they are handed over
 	finalMessagesReserve  = 100 * time.Millisecond  // reserved at the end for the last messages
-	claimsTimeout         = 6 * time.Second         // longest wait of a planned stop for the new keepers to collect the claims
-	claimCollectTime      = 1200 * time.Millisecond // time that the keepers of a new view have to collect the claims kept here
+	claimsTimeout         = 6 * time.Second         // longest wait of a planned stop for the new replicas to collect the claims
+	claimCollectTime      = 1200 * time.Millisecond // time that the replicas of a new view have to collect the claims kept here
 	followersGracePeriod  = 500 * time.Millisecond  // lets callers that follow answers through this instance get their last chunks
 	updatesTimeout        = 1500 * time.Millisecond // longest wait for the delivery of updates; meanwhile owners replace the second copies held here
 	handoverRetryInterval = 150 * time.Millisecond  // between two rounds of handovers
@@ -28,7 +28,7 @@
 
 // Leave drains this instance and returns the number of requests that it could neither finish nor
 // hand over. It waits for running requests, hands the rest over to other instances, and waits until
-// updates are delivered and the keepers of a new view have the claims kept here. by is the time at
+// updates are delivered and the replicas of a new view have the claims kept here. by is the time at
 // which the instance goes. It is zero for a planned stop, which waits up to the table's stop
 // deadline for running requests.
 func (r *Relay) Leave(ctx context.Context, by time.Time) int {
@@ -103,12 +103,12 @@
 	return len(r.updated) == 0
 }
 
-// claimsCollected reports whether a view without this instance is installed and its keepers have had
+// claimsCollected reports whether a view without this instance is installed and its replicas have had
 // time to collect the claims kept here, or no view is installed at all.
 func (r *Relay) claimsCollected() bool {
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	v := r.keeper.View()
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	v := r.replica.View()
 	return v == nil || !v.Has(r.Self) && r.Clock.Since(r.installedAt) > claimCollectTime
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -90,10 +90,10 @@
 	stop   context.CancelFunc
 	wait   sync.WaitGroup
 
-	keeperMu sync.Mutex
-	keeper   *claim.Replica // guarded by keeperMu
+	replicaMu sync.Mutex
+	replica   *claim.Replica // guarded by replicaMu
 
-	installedAt time.Time // when the keeper's view was installed; guarded by keeperMu
+	installedAt time.Time // when the replica's view was installed; guarded by replicaMu
 
 	rndMu sync.Mutex
 	rnd   *rand.Rand // guarded by rndMu
@@ -127,7 +127,7 @@
 
 func New(o Options) *Relay {
 	r := &Relay{
-		Options: o, store: record.NewStore(), keeper: claim.NewReplica(o.Self),
+		Options: o, store: record.NewStore(), replica: claim.NewReplica(o.Self),
 		rnd:  rand.New(rand.NewPCG(o.Seed, 0x5bd1e995)),
 		runs: make(map[string]*run), updated: make(map[*record.Record]struct{}),
 		retries: make(map[string]*retryBudget), suspects: newSuspects(),
@@ -147,18 +147,18 @@
 // Store returns the records that this instance owns or keeps a second copy of.
 func (r *Relay) Store() *record.Store { return r.store }
 
-// Claims returns the number of claims that this instance holds as a keeper.
+// Claims returns the number of claims that this instance holds as a replica.
 func (r *Relay) Claims() int {
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	return r.keeper.Len()
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	return r.replica.Len()
 }
 
-// KeeperReady reports whether this instance, as a keeper, knows the claims of all its shards.
+// KeeperReady reports whether this instance, as a replica, knows the claims of all its shards.
 func (r *Relay) KeeperReady() bool {
-	r.keeperMu.Lock()
-	defer r.keeperMu.Unlock()
-	return r.keeper.Ready()
+	r.replicaMu.Lock()
+	defer r.replicaMu.Unlock()
+	return r.replica.Ready()
 }
 
 func (r *Relay) snapshot() *control.Snapshot { return r.Control.Snapshot() }
--- a/internal/relay/upkeep.go
+++ b/internal/relay/upkeep.go
@@ -104,9 +104,9 @@
 		for _, rec := range r.store.Expired(now, s.Table.System.Retention) {
 			r.store.Remove(rec)
 		}
-		r.keeperMu.Lock()
-		r.keeper.Expire(now)
-		r.keeperMu.Unlock()
+		r.replicaMu.Lock()
+		r.replica.Expire(now)
+		r.replicaMu.Unlock()
 		r.suspects.expire(now)
 		r.expireLimits(now)
 	}
