--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -257,8 +257,8 @@
 	return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "the server broke off", err: f}}
 }
 
-// began counts a run of the request for the usage reports. A server of a plain service
-// counts each of its runs. Model endpoints count a request once, also if one fails it and
+// began counts a run of the request for the usage reports. Each run at an endpoint of a plain
+// service counts. A request to model endpoints counts once, also if one of them fails it and
 // another runs it again.
 func (h *Handler) began(q *request) {
 	if q.route.Kind == policy.Streaming && q.counted {
