--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -254,7 +254,7 @@
 	if ctx.Err() != nil {
 		return outcome{denial: h.ended(ctx, q)}
 	}
-	return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "the server broke off", err: f}}
+	return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "endpoint broke off", err: f}}
 }
 
 // began counts a run of the request for the usage reports. Each run at an endpoint of a plain
