--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -191,7 +191,7 @@
 	if errors.As(err, &throttled) {
 		// A client that retries sooner may reach another instance, which may have an endpoint for it.
 		wait := min(max(waitRetry, h.Clock.Until(throttled.Until)), waitNoEndpoint)
-		return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "all endpoints asked for a pause or are at their rate limit", wait: wait}
+		return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "all endpoints requested a backoff or are at their rate limit", wait: wait}
 	}
 	return &denial{status: h.statusUnlessRun(q, http.StatusServiceUnavailable), why: "no endpoint", wait: waitNoEndpoint}
 }
@@ -254,11 +254,11 @@
 	if ctx.Err() != nil {
 		return outcome{denial: h.ended(ctx, q)}
 	}
-	return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "the server broke off", err: f}}
+	return outcome{again: q.route.Idempotent(), denial: &denial{status: http.StatusBadGateway, why: "endpoint broke off", err: f}}
 }
 
-// began counts a run of the request for the usage reports. A server of a plain service
-// counts each of its runs. Model endpoints count a request once, also if one fails it and
+// began counts a run of the request for the usage reports. Each run at an endpoint of a plain
+// service counts. A request to model endpoints counts once, also if one of them fails it and
 // another runs it again.
 func (h *Handler) began(q *request) {
 	if q.route.Kind == policy.Streaming && q.counted {
