--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the client of the platform's lagging instance list and
-// of the cloud API's reclaim notices. Client is safe for concurrent use.
+// Package platform is the client of the platform's instance list, which lags behind the actual
+// state, and of the cloud API's reclaim notices. Client is safe for concurrent use.
 package platform
 
 import (
@@ -12,32 +12,32 @@
 	"time"
 )
 
-// Keys of the key-value service that the system uses.
+// Keys that the system uses in the platform's key-value service.
 const (
 	KeyTable = "table"
 	KeyView  = "view"
 )
 
-// Kind says what an instance is.
+// Kind is the role of an instance.
 type Kind string
 
-// The kinds of instance.
+// Roles of instances.
 const (
 	KindEntry   Kind = "entry"
 	KindModel   Kind = "model"
 	KindService Kind = "service"
 )
 
-// State is what the list says of an instance.
+// State is the state of an instance in the list.
 type State string
 
-// The states of an instance; empty means live.
+// States of an instance. The list leaves the field out for a live one.
 const (
 	StateLive    State = ""
 	StateLeaving State = "leaving"
 )
 
-// Instance is one line of the list.
+// Instance is one entry of the instance list.
 type Instance struct {
 	ID          string         `json:"id"`
 	Incarnation uint64         `json:"incarnation"`
@@ -45,31 +45,31 @@
 	Addr        netip.AddrPort `json:"address"`
 	Peer        netip.AddrPort `json:"peer_address,omitzero"`
 	Hall        string         `json:"hall"`
-	Serves      string         `json:"serves,omitempty"` // model or service
+	Serves      string         `json:"serves,omitempty"` // name of the model or service that it serves
 	State       State          `json:"state,omitempty"`
-	Deadline    time.Time      `json:"deadline,omitzero"` // when a leaving instance goes
+	Deadline    time.Time      `json:"deadline,omitzero"` // time of the shutdown of a leaving instance
 }
 
-// Notice announces a reclaim.
+// Notice announces that the cloud will reclaim an instance at Deadline.
 type Notice struct {
 	ID          string    `json:"id"`
 	Incarnation uint64    `json:"incarnation"`
 	Deadline    time.Time `json:"deadline"`
 }
 
-// Notices is an answer of the notices feed.
+// Notices is one response of the reclaim notices feed.
 type Notices struct {
-	Next    int      `json:"next"` // where to go on
+	Next    int      `json:"next"` // position in the feed to read from next
 	Notices []Notice `json:"notices"`
 }
 
 const (
-	callTimeout  = 3 * time.Second
-	noticesWait  = 10 * time.Second
-	maxListBytes = 8 << 20
+	callTimeout      = 3 * time.Second
+	noticesWait      = 10 * time.Second
+	maxResponseBytes = 8 << 20
 )
 
-// Client reads the list and the notices.
+// Client reads the instance list and the reclaim notices.
 type Client struct {
 	base string
 	http *http.Client
@@ -80,7 +80,7 @@
 	return &Client{base: "http://" + addr.String(), http: &http.Client{Transport: transport}}
 }
 
-// Instances reads the lagging list.
+// Instances returns the instance list, which may be out of date.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -88,7 +88,8 @@
 	return list, c.get(ctx, "/instances", &list)
 }
 
-// Notices waits for notices after a place in the feed.
+// Notices returns the notices after a position in the feed. If there are none it waits for up to
+// noticesWait.
 func (c *Client) Notices(ctx context.Context, after int) (Notices, error) {
 	ctx, cancel := context.WithTimeout(ctx, noticesWait+callTimeout)
 	defer cancel()
@@ -97,6 +98,7 @@
 	return n, c.get(ctx, path, &n)
 }
 
+// get requests a path and decodes the JSON response into v.
 func (c *Client) get(ctx context.Context, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -110,7 +112,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("platform %s: status %d", path, resp.StatusCode)
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxListBytes)).Decode(v); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxResponseBytes)).Decode(v); err != nil {
 		return fmt.Errorf("platform %s: %w", path, err)
 	}
 	return nil
