--- a/internal/check/accounts.go
+++ b/internal/check/accounts.go
@@ -7,20 +7,22 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// quota: what ran for an account stays within its limit.
-func quota(x *index) (out []Violation) {
+// checkQuota checks the rule QUOTA: the units of the executed requests of a client account stay
+// within its rate limit.
+func checkQuota(x *index) (out []Violation) {
 	for _, account := range x.Accounts {
 		if account.Rate <= 0 {
 			continue
 		}
-		if v, broken := x.quota(account); broken {
+		if v, broken := x.quotaViolation(account); broken {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-func (x *index) quota(account Account) (Violation, bool) {
+// quotaViolation returns the first window in which an account exceeded its limit, if there is one.
+func (x *index) quotaViolation(account Account) (Violation, bool) {
 	window := x.Bounds.QuotaWindow
 	allowed := (account.Rate*window.Seconds() + account.Burst) * (1 + x.Bounds.QuotaOver)
 	type use struct {
@@ -43,27 +45,29 @@
 			within = within[1:]
 		}
 		if sum > allowed {
-			return Violation{"QUOTA", r.At, fmt.Sprintf("%s ran %v units in %s, allowed %v", account.Name, sum, window, allowed)}, true
+			return Violation{"QUOTA", r.At, fmt.Sprintf("%s used %v units in %s, allowed %v", account.Name, sum, window, allowed)}, true
 		}
 	}
 	return Violation{}, false
 }
 
-// thaw is how long after its standstill a call of an instance may still arrive.
-const thaw = 300 * time.Millisecond
+// maxDelayAfterDisruption is how long after the end of an instance's disruption a call that it had
+// already sent may still arrive.
+const maxDelayAfterDisruption = 300 * time.Millisecond
 
-// thawed reports whether a call may have been on its way while its holder stood still.
-func (x *index) thawed(c DutyCall) bool {
+// delayedByDisruption reports whether a call may have been delayed by a disruption of its holder.
+func (x *index) delayedByDisruption(c DutyCall) bool {
 	for _, d := range x.Disruptions {
-		if d.Instance == c.Holder && d.From.Before(c.At) && c.At.Before(d.To.Add(thaw)) {
+		if d.Instance == c.Holder && d.From.Before(c.At) && c.At.Before(d.To.Add(maxDelayAfterDisruption)) {
 			return true
 		}
 	}
 	return false
 }
 
-// one: usage of a window is reported with one set of counts, and fences of a duty only rise.
-func one(x *index) (out []Violation) {
+// checkSingleHolder checks the rule ONE: all reports of the usage in a window have the same counts, a
+// fencing token is used by one holder only, and fencing tokens never decrease.
+func checkSingleHolder(x *index) (out []Violation) {
 	counts := make(map[int64]string)
 	holders := make(map[store.Revision]string)
 	highest := store.Revision(0)
@@ -76,7 +80,7 @@
 			out = append(out, Violation{"ONE", c.At, fmt.Sprintf("fence %d was sent by %s and by %s", c.Fence, old, c.Holder)})
 		}
 		holders[c.Fence] = c.Holder
-		if c.Fence < highest && !x.thawed(c) {
+		if c.Fence < highest && !x.delayedByDisruption(c) {
 			out = append(out, Violation{"ONE", c.At, fmt.Sprintf("%s sent fence %d after %d", c.Holder, c.Fence, highest)})
 		}
 		highest = max(highest, c.Fence)
--- a/internal/check/answers.go
+++ b/internal/check/answers.go
@@ -5,30 +5,34 @@
 	"net/http"
 )
 
+// success reports whether a status is 2xx.
 func success(status int) bool { return status >= 200 && status < 300 }
 
-// mixed: a success is the endpoint's own answer to this request, whole; a failure that bears a
-// seal has the status that the endpoint gave.
-func mixed(x *index) (out []Violation) {
+// checkMixed checks the rule MIXED: a success response is the complete response of an endpoint to
+// this very request, and a sealed failure has the status that the endpoint returned.
+func checkMixed(x *index) (out []Violation) {
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
-		if why := x.mixed(a); why != "" {
+		if why := x.mismatch(a); why != "" {
 			out = append(out, Violation{"MIXED", a.EndedAt, fmt.Sprintf("%s by %s: %s", a.ID, a.Instance, why)})
 		}
 	}
 	return out
 }
 
-func (x *index) mixed(a *Attempt) string {
+// mismatch returns how the response to an attempt differs from what the endpoints sent, or an empty
+// string if it does not. The content of a success response counts only if it is complete; checkOrder
+// checks that of streams.
+func (x *index) mismatch(a *Attempt) string {
 	switch {
 	case a.Status == 0:
 		return ""
 	case a.AnswerID != "" && a.AnswerID != a.ID:
-		return "it got the answer to " + a.AnswerID
+		return "received the response to " + a.AnswerID
 	case success(a.Status) && !a.Sealed:
-		return "a success without a seal"
+		return "success response without a seal"
 	case a.BadEvent:
-		return "an event that is not the endpoint's"
+		return "stream event that the endpoint did not send"
 	case a.Stream && success(a.Status), !a.Sealed, success(a.Status) && !a.Whole:
 		return ""
 	}
@@ -37,11 +41,12 @@
 			return ""
 		}
 	}
-	return fmt.Sprintf("no endpoint gave the answer with status %d", a.Status)
+	return fmt.Sprintf("no endpoint sent this response with status %d", a.Status)
 }
 
-// order: each event of a stream comes once, in order, and a stream that ends as complete has all.
-func order(x *index) (out []Violation) {
+// checkOrder checks the rule ORDER: each event of a stream arrives once and in order, and a stream
+// that ends as complete has all events.
+func checkOrder(x *index) (out []Violation) {
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
 		if !a.Stream || !success(a.Status) {
@@ -49,7 +54,7 @@
 		}
 		for n, event := range a.Events {
 			if event != n+1 {
-				out = append(out, Violation{"ORDER", a.EndedAt, fmt.Sprintf("%s got event %d in place of %d", a.ID, event, n+1)})
+				out = append(out, Violation{"ORDER", a.EndedAt, fmt.Sprintf("%s received event %d instead of %d", a.ID, event, n+1)})
 				break
 			}
 		}
@@ -60,7 +65,8 @@
 	return out
 }
 
-// Promises reports whether a status says that the request has not run and never will.
+// GuaranteesNotRun reports whether an instance that responds with this status guarantees that the
+// request was not executed and never will be.
 func Promises(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -69,12 +75,13 @@
 	return false
 }
 
-// refused: "not run" is true.
-func refused(x *index) (out []Violation) {
+// checkRefused checks the rule REFUSED: a request that is not idempotent was not executed if the
+// response status says so.
+func checkRefused(x *index) (out []Violation) {
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
 		if !a.Idempotent && Promises(a.Status) && x.runs(a.ID) > 0 {
-			out = append(out, Violation{"REFUSED", a.EndedAt, fmt.Sprintf("%s got %d from %s and ran", a.ID, a.Status, a.Instance)})
+			out = append(out, Violation{"REFUSED", a.EndedAt, fmt.Sprintf("%s received status %d from %s but was executed", a.ID, a.Status, a.Instance)})
 		}
 	}
 	return out
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,8 +1,8 @@
-// Package check verifies rules of the platform on recorded histories.
+// Package check verifies the rules of the platform on recorded histories.
 //
-// A checker is fed with what callers, endpoints, the store and the cloud saw, and reports
-// every violation. It grants the excuses that its rule names and no others. The package is
-// pure; checkers are not safe for concurrent use.
+// The input is what callers, endpoints, the store and the cloud observed; the output is the
+// violations. A checker exempts only the cases that its rule names. The package does no input or
+// output; checkers are not safe for concurrent use.
 package check
 
 import (
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// Violation is one broken rule.
+// Violation is one observed violation of a rule.
 type Violation struct {
 	Rule string
 	At   time.Time
 	Text string
 }
 
-// String returns the rule, the moment and what was seen.
+// String formats the violation as rule, time and description.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %s: %s", v.Rule, v.At.Format("15:04:05.000"), v.Text)
 }
 
 func byTime(a, b Violation) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Text, b.Text)) }
 
-// span is a time during which an instance is excused, its ends included.
+// span is a closed interval during which an instance is exempt from a rule.
 type span struct{ from, to time.Time }
 
 func (s span) contains(at time.Time) bool { return !at.Before(s.from) && !at.After(s.to) }
--- a/internal/check/endpoints.go
+++ b/internal/check/endpoints.go
@@ -5,69 +5,73 @@
 	"time"
 )
 
-// Bounds of what an endpoint asks for in its answers.
+// Tolerances of the rules BUDGET rest and BUDGET deadly.
 const (
-	restNotice = 500 * time.Millisecond // from the answer until it binds the instance
-	restOver   = 2                      // requests that may still come
-	deadlyEnds = 3                      // endpoints that end under a request before it is stopped
-	deadlyOver = 3                      // sent after that
+	pauseNotice    = 500 * time.Millisecond // from the response that asks for a pause until the pause binds the instance
+	pauseAllowance = 2                      // requests tolerated during a pause
+	crashLimit     = 3                      // endpoint crashes during a request after which it must be blocked
+	fatalAllowance = 3                      // requests tolerated after that
 )
 
-// drainStore: an endpoint whose leaving the store acknowledged gets no new work.
-func drainStore(x *index) (out []Violation) {
-	left := make(map[string]time.Time)
+// checkDrainStore checks the rule DRAIN store: an endpoint gets no new requests once Bounds.Drain
+// has passed since the store acknowledged that it is leaving.
+func checkDrainStore(x *index) (out []Violation) {
+	leavingSince := make(map[string]time.Time)
 	for _, l := range x.Leavings {
-		if _, known := left[l.Endpoint]; !known && !x.disrupted("", l.AckedAt, l.AckedAt) {
-			left[l.Endpoint] = l.AckedAt
+		if _, known := leavingSince[l.Endpoint]; !known && !x.disrupted("", l.AckedAt, l.AckedAt) {
+			leavingSince[l.Endpoint] = l.AckedAt
 		}
 	}
 	for _, r := range x.ordered {
-		at, leaving := left[r.Endpoint]
+		at, leaving := leavingSince[r.Endpoint]
 		sender := x.sender(r.Request)
-		if leaving && r.At.Sub(at) > x.Bounds.Drain && x.inTouch(sender, at, r.At) && !x.heldUp(r) {
+		if leaving && r.At.Sub(at) > x.Bounds.Drain && x.inTouch(sender, at, r.At) && !x.maybeDelayed(r) {
 			out = append(out, Violation{"DRAIN store", r.At, fmt.Sprintf("%s reached %s from %s, %s after its leaving was acknowledged", r.Request, r.Endpoint, sender, r.At.Sub(at))})
 		}
 	}
 	return out
 }
 
-type pair struct{ endpoint, instance string }
+// endpointInstance identifies an endpoint together with an instance that sends to it.
+type endpointInstance struct{ endpoint, instance string }
 
-// drainAnswer: an endpoint that announced to an instance that it leaves gets no new work from it.
-func drainAnswer(x *index) (out []Violation) {
-	said := make(map[pair]time.Time)
+// checkDrainResponse checks the rule DRAIN answer: an instance sends an endpoint no new requests
+// once Bounds.Drain has passed since the endpoint announced to it in a response that it is leaving.
+func checkDrainResponse(x *index) (out []Violation) {
+	announcedAt := make(map[endpointInstance]time.Time)
 	for _, s := range x.Statements {
-		p := pair{s.Endpoint, s.Instance}
-		if _, known := said[p]; s.Leaving && !known {
-			said[p] = s.At
+		p := endpointInstance{s.Endpoint, s.Instance}
+		if _, known := announcedAt[p]; s.Leaving && !known {
+			announcedAt[p] = s.At
 		}
 	}
 	for _, r := range x.ordered {
 		sender := x.sender(r.Request)
-		at, leaving := said[pair{r.Endpoint, sender}]
-		if leaving && r.At.Sub(at) > x.Bounds.Drain && !x.disrupted(sender, at, r.At) && !x.heldUp(r) {
-			out = append(out, Violation{"DRAIN answer", r.At, fmt.Sprintf("%s reached %s from %s, %s after its answer", r.Request, r.Endpoint, sender, r.At.Sub(at))})
+		at, leaving := announcedAt[endpointInstance{r.Endpoint, sender}]
+		if leaving && r.At.Sub(at) > x.Bounds.Drain && !x.disrupted(sender, at, r.At) && !x.maybeDelayed(r) {
+			out = append(out, Violation{"DRAIN answer", r.At, fmt.Sprintf("%s reached %s from %s, %s after the response that announced its leaving", r.Request, r.Endpoint, sender, r.At.Sub(at))})
 		}
 	}
 	return out
 }
 
-// budgetRest: an endpoint that asked an instance for rest gets it.
-func budgetRest(x *index) (out []Violation) {
+// checkBudgetRest checks the rule BUDGET rest: an instance that an endpoint asked to pause sends it
+// no requests until the end of the pause.
+func checkBudgetRest(x *index) (out []Violation) {
 	for _, s := range x.Statements {
 		if s.RestUntil.IsZero() {
 			continue
 		}
 		n := 0
 		for _, r := range x.ordered {
-			if r.Endpoint != s.Endpoint || !r.At.After(s.At.Add(restNotice)) || !r.At.Before(s.RestUntil) {
+			if r.Endpoint != s.Endpoint || !r.At.After(s.At.Add(pauseNotice)) || !r.At.Before(s.RestUntil) {
 				continue
 			}
-			if sender := x.sender(r.Request); sender != s.Instance || x.disrupted(sender, s.At, r.At) || x.heldUp(r) {
+			if sender := x.sender(r.Request); sender != s.Instance || x.disrupted(sender, s.At, r.At) || x.maybeDelayed(r) {
 				continue
 			}
-			if n++; n > restOver {
-				out = append(out, Violation{"BUDGET rest", r.At, fmt.Sprintf("%s got a %d. request from %s while it rests until %s", s.Endpoint, n, s.Instance, s.RestUntil.Format("15:04:05.000"))})
+			if n++; n > pauseAllowance {
+				out = append(out, Violation{"BUDGET rest", r.At, fmt.Sprintf("%s received request number %d from %s during the pause that it asked for, until %s", s.Endpoint, n, s.Instance, s.RestUntil.Format("15:04:05.000"))})
 				break
 			}
 		}
@@ -75,24 +79,25 @@
 	return out
 }
 
-// content identifies a request whatever its id.
-type content struct {
+// requestContent identifies requests with the same URI, account and body, whatever their ids.
+type requestContent struct {
 	uri, account string
 	body         uint64
 }
 
-// budgetDeadly: a request under which endpoints end is stopped after the third.
-func budgetDeadly(x *index) (out []Violation) {
-	ends, after, thirdAt := make(map[content]int), make(map[content]int), make(map[content]time.Time)
+// checkBudgetDeadly checks the rule BUDGET deadly: a request during which three endpoints crashed is
+// not sent to any more endpoints.
+func checkBudgetDeadly(x *index) (out []Violation) {
+	crashes, after, thirdAt := make(map[requestContent]int), make(map[requestContent]int), make(map[requestContent]time.Time)
 	for _, r := range x.ordered {
-		c := content{r.URI, r.Account, r.BodySum}
-		if at, stopped := thirdAt[c]; stopped && r.At.Sub(at) > x.Bounds.Contact && x.inTouch(x.sender(r.Request), at, r.At) {
-			if after[c]++; after[c] == deadlyOver+1 {
-				out = append(out, Violation{"BUDGET deadly", r.At, fmt.Sprintf("%s %s was sent more than %d times after three endpoints had ended under it", r.Method, r.URI, deadlyOver)})
+		c := requestContent{r.URI, r.Account, r.BodySum}
+		if at, blocked := thirdAt[c]; blocked && r.At.Sub(at) > x.Bounds.Contact && x.inTouch(x.sender(r.Request), at, r.At) {
+			if after[c]++; after[c] == fatalAllowance+1 {
+				out = append(out, Violation{"BUDGET deadly", r.At, fmt.Sprintf("%s %s was sent more than %d times after three endpoints had crashed while running it", r.Method, r.URI, fatalAllowance)})
 			}
 		}
 		if r.Crashed {
-			if ends[c]++; ends[c] == deadlyEnds {
+			if crashes[c]++; crashes[c] == crashLimit {
 				thirdAt[c] = r.EndedAt
 			}
 		}
@@ -100,8 +105,8 @@
 	return out
 }
 
-// limit: see RateLimits.
-func limit(x *index) []Violation {
+// checkRateLimit checks the rule LIMIT with RateLimits.
+func checkRateLimit(x *index) []Violation {
 	c := NewRateLimits(x.Bounds.Contact)
 	for _, l := range x.RateChanges {
 		if l.Limited {
@@ -121,7 +126,7 @@
 		}
 	}
 	for _, r := range x.ordered {
-		if x.heldUp(r) {
+		if x.maybeDelayed(r) {
 			continue
 		}
 		c.Arrived(r.Endpoint, x.sender(r.Request), r.At)
--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -7,55 +7,55 @@
 	"github.com/shelfcrank/shelfcrank/internal/store"
 )
 
-// Bounds are the figures of the rules.
+// Bounds are the time limits and tolerances of the rules.
 type Bounds struct {
-	Contact      time.Duration // for which an instance has to be undisturbed to be in touch
-	Drain        time.Duration // after which an endpoint that leaves gets no new work
-	Revoke       time.Duration // after which a key that was taken away must not work
-	Config       time.Duration // after which a configuration is in force
-	RollbackOver time.Duration // after an effect of a configuration was seen, from which none before it may show
-	Grace        time.Duration // that a stopping instance has
-	Recover      time.Duration // after the last fault, from which requests are served again
-	RetryRatio   float64       // repeats allowed for each request
-	RetrySlack   float64       // repeats allowed beside, in each window
+	Contact      time.Duration // for which an instance must be free of disruptions to count as in touch
+	Drain        time.Duration // after which a leaving endpoint gets no new requests
+	Revoke       time.Duration // after which a revoked key must not work
+	Config       time.Duration // after which an acknowledged configuration must be applied
+	RollbackOver time.Duration // after an effect of a configuration was observed, during which an older one may still show
+	Grace        time.Duration // time for which a stopping instance still completes requests
+	Recover      time.Duration // after the last fault, from which requests must be served again
+	RetryRatio   float64       // retries allowed per request
+	RetrySlack   float64       // retries allowed in addition, per window
 	RetryWindow  time.Duration
-	QuotaOver    float64 // share by which a window may go over an account's limit
+	QuotaOver    float64 // fraction by which the usage in a window may exceed an account's limit
 	QuotaWindow  time.Duration
 }
 
-// Attempt is one request of a caller, as the caller saw it.
+// Attempt is one request that a caller sent to an instance, as the caller observed it.
 type Attempt struct {
 	ID          string
-	Instance    string // that it was sent to
+	Instance    string // instance that it was sent to
 	Incarnation int    // of the instance's process
 	Route       string
-	Since       int64 // version of the configuration that added the route; 0 if it was always there
-	Until       int64 // version that removed it; 0 if none did
+	Since       int64 // configuration version that added the route; 0 if all versions have it
+	Until       int64 // configuration version that removed the route; 0 if none did
 	Service     string
 	Account     string
-	KeyRevoked  time.Time // acknowledgement of the configuration that took the key away; zero if none did
+	KeyRevoked  time.Time // when the configuration that revoked the key was acknowledged; zero if none did
 	Method      string
 	URI         string
 	BodySum     uint64
-	Units       float64 // of the account's limit
+	Units       float64 // that the request counts against the account's limit
 	Deadline    time.Duration
 	Idempotent  bool
 	Stream      bool
-	Pieces      int // events of the whole stream
+	Pieces      int // number of events of the complete stream
 	MaxAttempts int
 	SentAt      time.Time
 	EndedAt     time.Time
-	LeftAt      time.Time // when the caller gave up; zero if it did not
-	Status      int       // 0 if there was no answer
-	Sealed      bool      // the answer bears an endpoint's seal
-	AnswerID    string    // request that the answer names
+	LeftAt      time.Time // when the caller abandoned the request; zero if it did not
+	Status      int       // 0 if there was no response
+	Sealed      bool      // the response has an endpoint's seal
+	AnswerID    string    // request id in the response
 	AnswerSum   uint64
-	Whole       bool  // the answer looked complete
-	Events      []int // numbers of the events of a stream, 1 for the first
-	BadEvent    bool  // an event was not the endpoint's for this request
+	Whole       bool  // the response appeared complete to the caller
+	Events      []int // numbers of the stream events received, starting at 1
+	BadEvent    bool  // an event was not one that the endpoint sent for this request
 }
 
-// Arrival is a request at an endpoint.
+// Arrival is a request that reached an endpoint, as the endpoint observed it.
 type Arrival struct {
 	Request   string
 	Endpoint  string
@@ -65,83 +65,84 @@
 	URI       string
 	BodySum   uint64
 	Account   string
-	Deadline  time.Duration // in the request's header; negative if there is none
-	Ran       bool          // the endpoint began to work on it
-	EndedAt   time.Time     // of the work; zero while it goes on
-	Broke     bool          // the endpoint broke off
-	Crashed   bool          // the endpoint ended under it
+	Deadline  time.Duration // from the request's header; negative if absent
+	Ran       bool          // the endpoint started to execute it
+	EndedAt   time.Time     // end of the execution; zero while it runs
+	Broke     bool          // the endpoint aborted the response
+	Crashed   bool          // the endpoint crashed while executing it
 	Status    int
 	AnswerSum uint64
 }
 
-// Statement is what an endpoint announced of itself in an answer to an instance.
+// Announcement is what an endpoint announced about itself in a response to an instance.
 type Statement struct {
 	Endpoint  string
 	Instance  string
 	At        time.Time
 	Leaving   bool
-	RestUntil time.Time // until when it wants nothing from the instance; zero if it did not say
-	RateLimit bool      // it names the limit that is in force
+	RestUntil time.Time // end of the pause that it asks the instance for; zero if it asks for none
+	RateLimit bool      // the response contains the rate limit in force
 }
 
-// RateChange is a change of the rate limit that an endpoint names.
+// RateChange is a change of the rate limit that an endpoint announces.
 type RateChange struct {
 	Endpoint string
 	At       time.Time
 	Limited  bool
-	Rate     float64 // requests a second
+	Rate     float64 // requests per second
 }
 
-// Config is a version of the configuration that the store acknowledged.
+// Config is a configuration version that was written to the store, with the times of the write and
+// of its acknowledgement.
 type Config struct {
 	Version int64
 	SentAt  time.Time
 	AckedAt time.Time
 }
 
-// Leaving is an endpoint whose leaving the store acknowledged.
+// Leaving records when the store acknowledged that an endpoint is leaving.
 type Leaving struct {
 	Endpoint string
 	AckedAt  time.Time
 }
 
-// Disruption strikes an instance, or the store if Instance is empty.
+// Disruption is a fault or a planned stop of an instance, or of the store if Instance is empty.
 type Disruption struct {
 	Instance string
 	Kind     string
-	Planned  bool // SIGTERM
+	Planned  bool // a stop by SIGTERM
 	From, To time.Time
 }
 
-// HeldUp is a time for which the link to an endpoint was harmed: requests may reach it late.
+// LinkFault is a period with a network fault on the link to an endpoint, which may delay requests.
 type HeldUp struct {
 	Endpoint string
 	From, To time.Time
 }
 
-// DutyCall is a call that one instance at a time may make.
+// DutyCall is a call of the cloud API that only the instance that holds the duty may make.
 type DutyCall struct {
 	At     time.Time
 	Holder string
 	Fence  store.Revision
-	Window int64  // of a usage report
-	Counts string // canonical text of its counts
+	Window int64  // window of a usage report
+	Counts string // canonical text of the reported counts
 }
 
-// Exit is a process that ended by itself, or reported a broken invariant.
+// Exit is the unexpected end of an instance's process, or its report of a violated invariant.
 type Exit struct {
 	Instance string
 	At       time.Time
 	Text     string
 }
 
-// Account is the limit of a client account.
+// Account is the rate limit of a client account.
 type Account struct {
 	Name        string
-	Rate, Burst float64 // units
+	Rate, Burst float64 // in units per second and in units
 }
 
-// History is what was recorded in one run.
+// History is the record of one test run.
 type History struct {
 	Bounds      Bounds
 	Attempts    []Attempt
@@ -158,22 +159,23 @@
 	EndedAt     time.Time
 }
 
-// Rule checks one rule.
+// Rule is a rule of the platform with its checker.
 type Rule struct {
 	Name  string
 	Check func(h *index) []Violation
 }
 
-// Rules are all rules, by the names that the platform gives them.
+// Rules are all rules, with the names that the platform gives them.
 var Rules = []Rule{
-	{"MIXED", mixed}, {"ORDER", order}, {"REFUSED", refused}, {"UNASKED", unasked}, {"TWICE", twice}, {"ROUTE", routed},
-	{"BUDGET attempts", budgetAttempts}, {"BUDGET deadline", budgetDeadline}, {"BUDGET retries", budgetRetries},
-	{"BUDGET rest", budgetRest}, {"BUDGET deadly", budgetDeadly}, {"LIMIT", limit}, {"GONE", gone},
-	{"DRAIN store", drainStore}, {"DRAIN answer", drainAnswer}, {"CONFIG keys", configKeys}, {"CONFIG old", configOld},
-	{"CONFIG back", configBack}, {"DENIED", denied}, {"QUOTA", quota}, {"ONE", one}, {"LOST", lost}, {"RECOVER", recovers}, {"FAULT", faults},
+	{"MIXED", checkMixed}, {"ORDER", checkOrder}, {"REFUSED", checkRefused}, {"UNASKED", checkUnasked}, {"TWICE", checkTwice}, {"ROUTE", checkRoute},
+	{"BUDGET attempts", checkBudgetAttempts}, {"BUDGET deadline", checkBudgetDeadline}, {"BUDGET retries", checkBudgetRetries},
+	{"BUDGET rest", checkBudgetRest}, {"BUDGET deadly", checkBudgetDeadly}, {"LIMIT", checkRateLimit}, {"GONE", checkGone},
+	{"DRAIN store", checkDrainStore}, {"DRAIN answer", checkDrainResponse}, {"CONFIG keys", checkConfigKeys}, {"CONFIG old", checkConfigOld},
+	{"CONFIG back", checkConfigBack}, {"DENIED", checkDenied}, {"QUOTA", checkQuota}, {"ONE", checkSingleHolder}, {"LOST", checkLost}, {"RECOVER", checkRecover}, {"FAULT", checkFault},
 }
 
-// Run returns the violations of all rules, in the order of time.
+// Run checks all rules and returns the violations in time order. It sorts the attempts and
+// arrivals of h by time.
 func Run(h *History) []Violation {
 	x := newIndex(h)
 	var out []Violation
@@ -184,12 +186,12 @@
 	return out
 }
 
-// index is a history prepared for look-ups.
+// index is a history with indexes for look-ups by request.
 type index struct {
 	*History
 	attempts map[string]*Attempt   // by id
-	arrivals map[string][]*Arrival // by request, in the order of time
-	ordered  []*Arrival            // in the order of time
+	arrivals map[string][]*Arrival // by request id, in time order
+	ordered  []*Arrival            // all arrivals in time order
 }
 
 func newIndex(h *History) *index {
@@ -207,7 +209,7 @@
 	return x
 }
 
-// runs returns how often a request ran.
+// runs returns how often a request was executed.
 func (x *index) runs(id string) int {
 	n := 0
 	for _, a := range x.arrivals[id] {
@@ -218,7 +220,8 @@
 	return n
 }
 
-// disrupted reports whether an instance was struck within a time, or shortly before it.
+// disrupted reports whether an instance, or the store if instance is empty, was disrupted between
+// from and to, or less than Bounds.Contact before.
 func (x *index) disrupted(instance string, from, to time.Time) bool {
 	for _, d := range x.Disruptions {
 		if d.Instance == instance && d.From.Before(to) && from.Before(d.To.Add(x.Bounds.Contact)) {
@@ -228,14 +231,15 @@
 	return false
 }
 
-// inTouch reports whether an instance was in touch all through a time: neither it nor the store
-// was disrupted.
+// inTouch reports whether an instance was in touch throughout an interval: neither it nor the store was
+// disrupted.
 func (x *index) inTouch(instance string, from, to time.Time) bool {
 	return !x.disrupted(instance, from, to) && !x.disrupted("", from, to)
 }
 
-// heldUp reports whether a request at an endpoint may be late because the link was harmed.
-func (x *index) heldUp(r *Arrival) bool {
+// maybeDelayed reports whether a request may have reached its endpoint late because of a fault on
+// the link.
+func (x *index) maybeDelayed(r *Arrival) bool {
 	for _, h := range x.HeldUp {
 		if h.Endpoint == r.Endpoint && h.From.Before(r.At) && r.At.Before(h.To.Add(x.Bounds.Contact)) {
 			return true
--- a/internal/check/process.go
+++ b/internal/check/process.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// lost: a planned stop cuts no request that the instance has passed on.
-func lost(x *index) (out []Violation) {
+// checkLost checks the rule LOST: a planned stop of an instance interrupts no request that the
+// instance has forwarded and that was sent to it before Bounds.Grace ended.
+func checkLost(x *index) (out []Violation) {
 	for _, d := range x.Disruptions {
 		if !d.Planned {
 			continue
@@ -14,32 +15,33 @@
 		end := d.From.Add(x.Bounds.Grace)
 		for i := range x.Attempts {
 			a := &x.Attempts[i]
-			if a.Instance != d.Instance || a.SentAt.After(end) || a.EndedAt.Before(d.From) || !x.cut(a) || x.struckBefore(a, d) {
+			if a.Instance != d.Instance || a.SentAt.After(end) || a.EndedAt.Before(d.From) || !x.interrupted(a) || x.disruptedOtherwise(a, d) {
 				continue
 			}
-			out = append(out, Violation{"LOST", a.EndedAt, fmt.Sprintf("%s was cut by the planned stop of %s at %s", a.ID, d.Instance, d.From.Format("15:04:05.000"))})
+			out = append(out, Violation{"LOST", a.EndedAt, fmt.Sprintf("%s was interrupted by the planned stop of %s at %s", a.ID, d.Instance, d.From.Format("15:04:05.000"))})
 		}
 	}
 	return out
 }
 
-// cut reports whether an attempt was passed on and ended without a complete answer, although
-// its endpoint did not break off and its time was not over.
-func (x *index) cut(a *Attempt) bool {
+// interrupted reports whether an attempt was forwarded and ended without a complete response,
+// although the caller did not abandon it, its deadline had not passed and no endpoint or link fault
+// explains it.
+func (x *index) interrupted(a *Attempt) bool {
 	if a.Status != 0 && a.Whole || !a.LeftAt.IsZero() || a.EndedAt.Sub(a.SentAt) >= a.Deadline {
 		return false
 	}
 	for _, r := range x.arrivals[a.ID] {
-		if r.Broke || r.Crashed || x.heldUp(r) {
+		if r.Broke || r.Crashed || x.maybeDelayed(r) {
 			return false
 		}
 	}
 	return len(x.arrivals[a.ID]) > 0
 }
 
-// struckBefore reports whether an unplanned disruption struck the instance or the store around
-// an attempt.
-func (x *index) struckBefore(a *Attempt, stop Disruption) bool {
+// disruptedOtherwise reports whether an unplanned disruption other than stop affected the instance
+// or the store during an attempt.
+func (x *index) disruptedOtherwise(a *Attempt, stop Disruption) bool {
 	for _, d := range x.Disruptions {
 		if d != stop && !d.Planned && (d.Instance == a.Instance || d.Instance == "") && d.From.Before(a.EndedAt) && a.SentAt.Before(d.To.Add(x.Bounds.Contact)) {
 			return true
@@ -48,10 +50,12 @@
 	return false
 }
 
-const recoverShare = 0.25
+// minServedShare is the fraction of requests that must succeed for the rule RECOVER.
+const minServedShare = 0.25
 
-// recovers: after the last fault requests are served again.
-func recovers(x *index) []Violation {
+// checkRecover checks the rule RECOVER: requests succeed again from Bounds.Recover after the end of
+// the last fault.
+func checkRecover(x *index) []Violation {
 	var last time.Time
 	for _, d := range x.Disruptions {
 		if d.To.After(last) {
@@ -70,14 +74,14 @@
 			served++
 		}
 	}
-	if sent == 0 || float64(served) >= recoverShare*float64(sent) {
+	if sent == 0 || float64(served) >= minServedShare*float64(sent) {
 		return nil
 	}
-	return []Violation{{"RECOVER", from, fmt.Sprintf("%d of %d requests were served from %s after the last fault on", served, sent, x.Bounds.Recover)}}
+	return []Violation{{"RECOVER", from, fmt.Sprintf("only %d of %d requests were served from %s after the last fault on", served, sent, x.Bounds.Recover)}}
 }
 
-// faults: no process ends by itself or reports a broken invariant.
-func faults(x *index) (out []Violation) {
+// checkFault checks the rule FAULT: no process ends unexpectedly or reports a violated invariant.
+func checkFault(x *index) (out []Violation) {
 	for _, e := range x.Exits {
 		out = append(out, Violation{"FAULT", e.At, e.Instance + ": " + e.Text})
 	}
--- a/internal/check/ratelimit_test.go
+++ b/internal/check/ratelimit_test.go
@@ -13,8 +13,8 @@
 
 const contact = 3 * time.Second
 
-// limited returns a history of an endpoint that names a limit of one a second, of which an
-// instance knows from 100 ms on.
+// limited returns a checker for an endpoint that announces a limit of one request per second, which
+// the instance n knows from 100 ms on.
 func limited() *RateLimits {
 	c := NewRateLimits(contact)
 	c.Named("e", 1, at(0))
@@ -22,7 +22,7 @@
 	return c
 }
 
-// arrive records requests at even distances within a time.
+// arrive records n evenly spaced requests between two times.
 func (c *RateLimits) arrive(instance string, n, fromMs, toMs int) {
 	for i := range n {
 		c.Arrived("e", instance, at(fromMs+i*(toMs-fromMs)/n))
@@ -78,7 +78,7 @@
 	c.Excuse("m", at(5000), at(9000))
 	is.Equal(len(c.Violations()), 1)
 	c.Excuse("n", at(5000), at(8000))
-	is.Equal(len(c.Violations()), 1) // 12 or more after the excuse
+	is.Equal(len(c.Violations()), 1) // 12 or more after the exemption
 	c.Excuse("n", at(8000), at(9000))
 	is.Equal(len(c.Violations()), 0)
 }
@@ -100,7 +100,7 @@
 	again.Lifted("e", at(5000))
 	again.Named("e", 1, at(6000))
 	again.arrive("n", 50, 10_000, 14_000)
-	is.Equal(len(again.Violations()), 0) // no answer has named it anew
+	is.Equal(len(again.Violations()), 0) // no response has announced the new limit yet
 	again.Passed("e", "n", at(7000))
 	is.Equal(len(again.Violations()), 1)
 }
--- a/internal/check/runs.go
+++ b/internal/check/runs.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// unasked: endpoints get what callers sent, for the account of the key.
-func unasked(x *index) (out []Violation) {
+// checkUnasked checks the rule UNASKED: endpoints receive only requests that callers sent,
+// unchanged and for the client account of the caller's key.
+func checkUnasked(x *index) (out []Violation) {
 	for _, r := range x.ordered {
 		a := x.attempts[r.Request]
 		why := ""
 		switch {
 		case a == nil:
-			why = "no caller sent it"
+			why = "no caller sent this request"
 		case a.Method != r.Method || a.URI != r.URI || a.BodySum != r.BodySum:
 			why = fmt.Sprintf("%s %s was changed to %s %s, or its body", a.Method, a.URI, r.Method, r.URI)
 		case a.Account != r.Account:
-			why = fmt.Sprintf("account %q in place of %q", r.Account, a.Account)
+			why = fmt.Sprintf("account %q instead of %q", r.Account, a.Account)
 		}
 		if why != "" {
 			out = append(out, Violation{"UNASKED", r.At, fmt.Sprintf("%s at %s: %s", r.Request, r.Endpoint, why)})
@@ -25,40 +26,42 @@
 	return out
 }
 
-// twice: a request that is not idempotent runs at most once.
-func twice(x *index) (out []Violation) {
+// checkTwice checks the rule TWICE: a request that is not idempotent is executed at most once.
+func checkTwice(x *index) (out []Violation) {
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
 		if n := x.runs(a.ID); !a.Idempotent && n > 1 {
-			out = append(out, Violation{"TWICE", a.SentAt, fmt.Sprintf("%s by %s ran %d times", a.ID, a.Instance, n)})
+			out = append(out, Violation{"TWICE", a.SentAt, fmt.Sprintf("%s by %s was executed %d times", a.ID, a.Instance, n)})
 		}
 	}
 	return out
 }
 
-// routed: a request runs at the service of its route.
-func routed(x *index) (out []Violation) {
+// checkRoute checks the rule ROUTE: a request is executed by the service of its route.
+func checkRoute(x *index) (out []Violation) {
 	for _, r := range x.ordered {
 		if a := x.attempts[r.Request]; a != nil && r.Ran && a.Service != r.Service {
-			out = append(out, Violation{"ROUTE", r.At, fmt.Sprintf("%s for %s ran at %s", a.ID, a.Service, r.Service)})
+			out = append(out, Violation{"ROUTE", r.At, fmt.Sprintf("%s for %s was executed by %s", a.ID, a.Service, r.Service)})
 		}
 	}
 	return out
 }
 
-// Requests that may break a rule before it counts as broken.
+// Tolerances of the rules BUDGET attempts, BUDGET deadline and GONE: numbers and shares of requests
+// that may be late or over budget, and how late.
 const (
-	attemptsOver  = 3
-	deadlineOver  = 20
-	deadlineShare = 0.2
-	deadlineSlack = 500 * time.Millisecond
-	goneOver      = 3
-	goneShare     = 0.25
-	goneAfter     = 500 * time.Millisecond
+	attemptsAllowance = 3
+	deadlineAllowance = 20
+	deadlineShare     = 0.2
+	deadlineSlack     = 500 * time.Millisecond
+	goneAllowance     = 3
+	goneShare         = 0.25
+	goneAfter         = 500 * time.Millisecond
 )
 
-// budgetAttempts: a request is sent to no more endpoints than its route allows.
-func budgetAttempts(x *index) (out []Violation) {
+// checkBudgetAttempts checks the rule BUDGET attempts: a request is executed by no more endpoints
+// than its route allows, not counting endpoints that crashed.
+func checkBudgetAttempts(x *index) (out []Violation) {
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
 		ran := make(map[string]bool)
@@ -68,37 +71,39 @@
 			}
 		}
 		if len(ran) > a.MaxAttempts {
-			out = append(out, Violation{"BUDGET attempts", a.SentAt, fmt.Sprintf("%s by %s ran at %d endpoints, allowed %d", a.ID, a.Instance, len(ran), a.MaxAttempts)})
+			out = append(out, Violation{"BUDGET attempts", a.SentAt, fmt.Sprintf("%s by %s was executed by %d endpoints, allowed %d", a.ID, a.Instance, len(ran), a.MaxAttempts)})
 		}
 	}
-	if len(out) <= attemptsOver {
+	if len(out) <= attemptsAllowance {
 		return nil
 	}
 	return out
 }
 
-// budgetDeadline: endpoints are given no more time than is left.
-func budgetDeadline(x *index) []Violation {
+// checkBudgetDeadline checks the rule BUDGET deadline: the deadline passed to an endpoint is no
+// longer than the time that the caller has left.
+func checkBudgetDeadline(x *index) []Violation {
 	var late []Violation
 	all := 0
 	for _, r := range x.ordered {
 		a := x.attempts[r.Request]
-		if a == nil || !x.inTouch(a.Instance, a.SentAt, r.At) || x.heldUp(r) {
+		if a == nil || !x.inTouch(a.Instance, a.SentAt, r.At) || x.maybeDelayed(r) {
 			continue
 		}
 		all++
 		if left := a.Deadline - r.At.Sub(a.SentAt); r.Deadline < 0 || r.Deadline > left+deadlineSlack {
-			late = append(late, Violation{"BUDGET deadline", r.At, fmt.Sprintf("%s was given %s at %s, %s were left", a.ID, r.Deadline, r.Endpoint, left)})
+			late = append(late, Violation{"BUDGET deadline", r.At, fmt.Sprintf("%s had a deadline of %s at %s, but only %s left", a.ID, r.Deadline, r.Endpoint, left)})
 		}
 	}
-	if len(late) <= deadlineOver || float64(len(late)) <= deadlineShare*float64(all) {
+	if len(late) <= deadlineAllowance || float64(len(late)) <= deadlineShare*float64(all) {
 		return nil
 	}
 	return late
 }
 
-// budgetRetries: repeats at a service stay within the budget of all instances.
-func budgetRetries(x *index) (out []Violation) {
+// checkBudgetRetries checks the rule BUDGET retries: retries at a service stay within the common
+// retry budget of all instances.
+func checkBudgetRetries(x *index) (out []Violation) {
 	sent := make(map[string][]time.Time)
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
@@ -121,7 +126,7 @@
 				requests = max(requests, countWithin(sent[service], end.Add(-window-back), end.Add(-back)))
 			}
 			if allowed := x.Bounds.RetryRatio*float64(requests) + x.Bounds.RetrySlack; float64(n) > allowed {
-				out = append(out, Violation{"BUDGET retries", end, fmt.Sprintf("%s got %d repeats in %s, allowed %d", service, n, window, int(allowed))})
+				out = append(out, Violation{"BUDGET retries", end, fmt.Sprintf("%s received %d retries in %s, allowed %d", service, n, window, int(allowed))})
 				break
 			}
 		}
@@ -129,7 +134,7 @@
 	return out
 }
 
-// countWithin counts the times after from, up to and including to. times are in order.
+// countWithin counts the times after from, up to and including to.
 func countWithin(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, t := range times {
@@ -140,10 +145,11 @@
 	return n
 }
 
-// gone: what a caller has given up reaches no endpoint later, and work on it ends.
-func gone(x *index) (out []Violation) {
+// checkGone checks the rule GONE: a request that its caller has abandoned reaches no endpoint
+// afterwards, and endpoints stop executing it if it is idempotent or a stream.
+func checkGone(x *index) (out []Violation) {
 	var late []Violation
-	working, lasting := 0, 0
+	overran, running := 0, 0
 	for i := range x.Attempts {
 		a := &x.Attempts[i]
 		if a.LeftAt.IsZero() || !x.inTouch(a.Instance, a.SentAt, a.LeftAt.Add(goneAfter)) {
@@ -151,26 +157,26 @@
 		}
 		bound := a.LeftAt.Add(goneAfter)
 		for _, r := range x.arrivals[a.ID] {
-			if x.heldUp(r) {
+			if x.maybeDelayed(r) {
 				continue
 			}
 			if r.At.After(bound) {
-				late = append(late, Violation{"GONE", r.At, fmt.Sprintf("%s reached %s %s after its caller had left", a.ID, r.Endpoint, r.At.Sub(a.LeftAt))})
+				late = append(late, Violation{"GONE", r.At, fmt.Sprintf("%s reached %s %s after its caller had abandoned it", a.ID, r.Endpoint, r.At.Sub(a.LeftAt))})
 			}
 			if !a.Idempotent && !a.Stream || !r.Ran || r.At.After(a.LeftAt) || !r.EndedAt.IsZero() && r.EndedAt.Before(a.LeftAt) {
 				continue
 			}
-			lasting++
+			running++
 			if r.EndedAt.IsZero() || r.EndedAt.After(bound) {
-				working++
+				overran++
 			}
 		}
 	}
-	if len(late) > goneOver {
+	if len(late) > goneAllowance {
 		out = append(out, late...)
 	}
-	if lasting > goneOver && float64(working) > goneShare*float64(lasting) {
-		out = append(out, Violation{"GONE", x.EndedAt, fmt.Sprintf("endpoints still worked on %d of %d requests that were given up", working, lasting)})
+	if running > goneAllowance && float64(overran) > goneShare*float64(running) {
+		out = append(out, Violation{"GONE", x.EndedAt, fmt.Sprintf("endpoints still executed %d of %d abandoned requests", overran, running)})
 	}
 	return out
 }
