--- a/internal/vocabulary/cmd/vocabulary/main.go
+++ b/internal/vocabulary/cmd/vocabulary/main.go
@@ -1,4 +1,4 @@
-// Command vocabulary runs the analyzers of package vocabulary on packages.
+// Command vocabulary runs the analyzers of package vocabulary on the given packages.
 package main
 
 import (
--- a/internal/vocabulary/revisions.go
+++ b/internal/vocabulary/revisions.go
@@ -9,19 +9,19 @@
 	"golang.org/x/tools/go/analysis"
 )
 
-// Revisions reports variables, fields, parameters and results that are named like a revision or
-// a fencing token of the store and are plain integers: only store.Revision is ordered across
-// restores of the store.
+// Revisions reports variables, fields, parameters and results of type int64 whose name is that of a
+// revision or a fencing token of the store. They have to be of type store.Revision, because only
+// that is ordered across restores of the store from a backup.
 var Revisions = &analysis.Analyzer{
 	Name: "revisions",
 	Doc:  "check that revisions of the store are of type store.Revision",
 	Run:  runRevisions,
 }
 
-// numberPackages deal with the store's own numbers.
+// numberPackages handle the store's raw revision numbers and are not checked.
 var numberPackages = []string{"platform", "internal/store", "internal/storetest", "internal/peerpb"}
 
-// revisionWords begin or end the names of revisions.
+// revisionWords are the words that mark a name as that of a revision or a fencing token.
 var revisionWords = []string{"revision", "rev", "fence"}
 
 func runRevisions(pass *analysis.Pass) (any, error) {
--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -1,9 +1,9 @@
 // Package vocabulary checks that declared names use the terms of docs/glossary.md.
 //
-// Two lists of words are rejected in the names of functions, types, constants, variables and
-// fields: terms that the glossary replaced, and words of the users' platform outside of the
-// package that speaks to it. Names that are still to be replaced are counted by package and word
-// in allow.txt; a count may only fall.
+// It rejects two kinds of words in the names of functions, types, constants, variables and fields:
+// terms that the glossary has replaced, and terms of the users' platform outside of package
+// platform, the adapter to it. allow.txt holds the number of existing names to be replaced, by
+// package and word; the number may only decrease.
 package vocabulary
 
 import (
@@ -23,17 +23,17 @@
 
 // term is a rejected word with the term to use.
 type term struct {
-	use      string
-	platform bool // the package that speaks to the platform may use it
+	replacement  string
+	platformTerm bool // a term of the platform, allowed in package platform
 }
 
 //go:embed words.txt
 var wordText string
 
-// terms are the rejected words.
+// terms maps each rejected word to its replacement.
 var terms = parseTerms(wordText)
 
-// parseTerms reads lines of kind, word and term. It leaves out comments.
+// parseTerms parses lines of kind, word and replacement. It skips comments.
 func parseTerms(text string) map[string]term {
 	out := make(map[string]term)
 	for line := range strings.Lines(text) {
@@ -45,7 +45,8 @@
 	return out
 }
 
-// Analyzer reports declared names that use a rejected word more often than allow.txt lets them.
+// Analyzer reports the declared names of a package that use a rejected word if there are more of them
+// than allow.txt permits, and counts in allow.txt that are too high.
 var Analyzer = &analysis.Analyzer{
 	Name: "vocabulary",
 	Doc:  "check that declared names use the terms of docs/glossary.md",
@@ -55,12 +56,12 @@
 //go:embed allow.txt
 var allowText string
 
-// use is a word in the names of one package.
-type use struct{ pkg, word string }
+// packageWord is a rejected word in the names of one package.
+type packageWord struct{ pkg, word string }
 
-// parseAllowed reads lines of package, word and count.
-func parseAllowed(text string) (map[use]int, error) {
-	out := make(map[use]int)
+// parseAllowed parses lines of package, word and count. It skips comments.
+func parseAllowed(text string) (map[packageWord]int, error) {
+	out := make(map[packageWord]int)
 	for line := range strings.Lines(text) {
 		f := strings.Fields(line)
 		if len(f) == 0 || f[0] == "#" {
@@ -73,7 +74,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("allowed names: %w", err)
 		}
-		out[use{f[0], f[1]}] = n
+		out[packageWord{f[0], f[1]}] = n
 	}
 	return out, nil
 }
@@ -94,25 +95,26 @@
 	}
 	for _, word := range slices.Sorted(maps.Keys(found)) {
 		names := found[word]
-		if len(names) <= allowed[use{path, word}] {
+		if len(names) <= allowed[packageWord{path, word}] {
 			continue
 		}
 		for _, id := range names {
-			pass.Reportf(id.Pos(), "%s uses %q: say %s (%d such names in %s, %d allowed)", id.Name, word, terms[word].use, len(names), path, allowed[use{path, word}])
+			pass.Reportf(id.Pos(), "%s uses %q: say %s (%d such names in %s, %d allowed)", id.Name, word, terms[word].replacement, len(names), path, allowed[packageWord{path, word}])
 		}
 	}
 	return nil, nil
 }
 
-// uses returns the declared names of a package that use a rejected word, by word.
+// uses returns the declared names of a package that use a rejected word, grouped by word and sorted
+// by position.
 func uses(pass *analysis.Pass) map[string][]*ast.Ident {
 	found := make(map[string][]*ast.Ident)
 	for id, object := range pass.TypesInfo.Defs {
-		if !declared(pass, object) || ast.IsGenerated(fileOf(pass, id.Pos())) {
+		if !isDeclared(pass, object) || ast.IsGenerated(fileOf(pass, id.Pos())) {
 			continue
 		}
 		for _, word := range words(id.Name) {
-			if rejected(pass, word) {
+			if isRejected(pass, word) {
 				found[word] = append(found[word], id)
 			}
 		}
@@ -123,6 +125,7 @@
 	return found
 }
 
+// fileOf returns the file of the package that contains a position, or its first file if none does.
 func fileOf(pass *analysis.Pass, pos token.Pos) *ast.File {
 	for _, f := range pass.Files {
 		if f.FileStart <= pos && pos < f.FileEnd {
@@ -132,9 +135,8 @@
 	return pass.Files[0]
 }
 
-// declared reports whether an object is declared at the level of the package, or a method or a
-// field.
-func declared(pass *analysis.Pass, o types.Object) bool {
+// isDeclared reports whether an object is declared at package level, or is a method or a field.
+func isDeclared(pass *analysis.Pass, o types.Object) bool {
 	switch o := o.(type) {
 	case nil, *types.PkgName:
 		return false
@@ -146,14 +148,14 @@
 	return o.Parent() == pass.Pkg.Scope()
 }
 
-// rejected reports whether names of a package may not use a word. The package that speaks to the
-// platform has its words.
-func rejected(pass *analysis.Pass, word string) bool {
+// isRejected reports whether names of a package must not use a word. Terms of the platform are
+// allowed in package platform and below.
+func isRejected(pass *analysis.Pass, word string) bool {
 	t, ok := terms[word]
-	return ok && !(t.platform && strings.HasPrefix(strings.TrimPrefix(pass.Pkg.Path(), modulePath), "platform"))
+	return ok && !(t.platformTerm && strings.HasPrefix(strings.TrimPrefix(pass.Pkg.Path(), modulePath), "platform"))
 }
 
-// words splits a name at its capitals and returns the parts in lower case.
+// words splits a name in camel case or with underscores into its words, in lower case.
 func words(name string) []string {
 	var out []string
 	var word []rune
--- a/internal/vocabulary/vocabulary_test.go
+++ b/internal/vocabulary/vocabulary_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	allowed, err := parseAllowed("# comment\ninternal/a told 2\n")
 	is.NoErr(err)
-	is.Equal(allowed, map[use]int{{"internal/a", "told"}: 2})
+	is.Equal(allowed, map[packageWord]int{{"internal/a", "told"}: 2})
 	_, err = parseAllowed("internal/a told\n")
 	is.True(err != nil)
 	_, err = parseAllowed("internal/a told two\n")
