--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,7 +1,8 @@
-// Package deployment turns the description of a deployment into settings for
-// stand-ins and entry instances, and into the first table.
+// Package deployment loads deployment descriptions and derives from them the
+// settings of the stand-ins and of the entry instances, and the initial
+// operators' table.
 //
-// The package is pure but for reading the embedded files.
+// Apart from reading the embedded files, its functions have no side effects.
 package deployment
 
 import (
@@ -21,7 +22,9 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Spec describes a deployment.
+// Spec describes a deployment: its region and halls, the number of entry
+// instances, network delays, endpoints, client accounts, request classes and
+// traffic. It is decoded from a TOML file in package bench.
 type Spec struct {
 	Name          string         `toml:"name"`
 	Region        string         `toml:"region"`
@@ -37,19 +40,21 @@
 	Traffic       []Traffic      `toml:"traffic"`
 }
 
-// Model is a model with the number of engines that serve it.
+// Model describes a model and the number of engines that serve it.
 type Model struct {
 	Name    string `toml:"name"`
 	Engines int    `toml:"engines"`
 }
 
-// Service is a plain service with its number of instances.
+// Service describes a plain service, one without a model, and the number of
+// endpoints that serve it.
 type Service struct {
 	Name      string `toml:"name"`
 	Instances int    `toml:"instances"`
 }
 
-// Account is a client account with the key that experiments use.
+// Account describes a client account, with the plain-text key that experiments
+// authenticate with.
 type Account struct {
 	Name      string  `toml:"name"`
 	Key       string  `toml:"key"`
@@ -58,7 +63,8 @@
 	LimitRate float64 `toml:"limit_requests_per_s"`
 }
 
-// Class is a request class.
+// Class describes a request class. A nil Repeatable leaves the cell unset, so
+// that the table's default applies.
 type Class struct {
 	Name       string  `toml:"name"`
 	Match      string  `toml:"match"`
@@ -71,17 +77,18 @@
 	Recompute  float64 `toml:"recompute_price"`
 }
 
-// Traffic is the load of one class.
+// Traffic describes the load that one request class generates.
 type Traffic struct {
 	Class     string  `toml:"class"`
-	PerSecond float64 `toml:"per_second"` // conversations' turns or calls
-	System    int     `toml:"system"`     // tokens that all sessions share
-	Prompt    int     `toml:"prompt"`     // tokens that each turn adds
-	Answer    int     `toml:"answer"`     // tokens of an answer
+	PerSecond float64 `toml:"per_second"` // conversation turns or service calls
+	System    int     `toml:"system"`     // prompt tokens shared by all sessions
+	Prompt    int     `toml:"prompt"`     // prompt tokens added by each turn
+	Answer    int     `toml:"answer"`     // output tokens of a response
 	Turns     int     `toml:"turns"`
 }
 
-// Load reads the description of a deployment.
+// Load reads the embedded description of the named deployment. It fails on
+// unknown keys.
 func Load(name string) (*Spec, error) {
 	b, err := bench.Files.ReadFile(name + ".toml")
 	if err != nil {
@@ -96,7 +103,8 @@
 	return &s, nil
 }
 
-// Class returns the class with this name.
+// Class returns the request class with the given name, or the zero Class if
+// there is none.
 func (s *Spec) Class(name string) Class {
 	for _, c := range s.Classes {
 		if c.Name == name {
@@ -106,7 +114,8 @@
 	return Class{}
 }
 
-// OperatorKey returns the key of an operator's account.
+// OperatorKey returns the key of the first client account with operator rights,
+// or "" if there is none.
 func (s *Spec) OperatorKey() string {
 	for _, a := range s.Accounts {
 		if a.Operator {
@@ -116,24 +125,26 @@
 	return ""
 }
 
-// HashKey returns the form in which the table holds an account's key.
+// HashKey returns the hex-encoded SHA-256 digest of a key, which the table
+// stores instead of the key itself.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Table returns the first table. system sets cells of its default row.
+// InitialTable returns the operators' table at revision 1. The cells in system
+// are added to its default row.
 func (s *Spec) Table(system ...table.Cell) *table.Document {
 	d := &table.Document{Revision: 1}
 	def := table.Row{Name: table.DefaultRow, Cells: []table.Cell{{Column: table.ColKind, Value: string(table.KindClass)}}}
 	def.Cells = append(def.Cells, system...)
 	d.Rows = append(d.Rows, def)
 	for _, a := range s.Accounts {
-		r := newRow(a.Name, table.KindAccount)
+		r := newTableRow(a.Name, table.KindAccount)
 		r.add(table.ColKey, HashKey(a.Key))
 		r.add(table.ColOperator, strconv.FormatBool(a.Operator))
-		r.add(table.ColWeight, number(a.Weight))
-		r.add(table.ColLimitRate, number(a.LimitRate))
+		r.add(table.ColWeight, formatNumber(a.Weight))
+		r.add(table.ColLimitRate, formatNumber(a.LimitRate))
 		d.Rows = append(d.Rows, r.Row)
 	}
 	for _, c := range s.Classes {
@@ -142,19 +153,22 @@
 	return d
 }
 
-type row struct{ table.Row }
+// tableRow is a row of the table under construction.
+type tableRow struct{ table.Row }
 
-func newRow(name string, kind table.RowKind) *row {
-	return &row{table.Row{Name: name, Cells: []table.Cell{{Column: table.ColKind, Value: string(kind)}}}}
+func newTableRow(name string, kind table.RowKind) *tableRow {
+	return &tableRow{table.Row{Name: name, Cells: []table.Cell{{Column: table.ColKind, Value: string(kind)}}}}
 }
 
-func (r *row) add(column, value string) {
+// add appends a cell unless value is empty.
+func (r *tableRow) add(column, value string) {
 	if value != "" {
 		r.Cells = append(r.Cells, table.Cell{Column: column, Value: value})
 	}
 }
 
-func number(f float64) string {
+// formatNumber formats f for a cell; 0 becomes "", which leaves the cell unset.
+func formatNumber(f float64) string {
 	if f == 0 {
 		return ""
 	}
@@ -162,13 +176,13 @@
 }
 
 func classRow(c Class) table.Row {
-	r := newRow(c.Name, table.KindClass)
+	r := newTableRow(c.Name, table.KindClass)
 	r.add(table.ColMatch, c.Match)
 	r.add(table.ColModel, c.Model)
 	r.add(table.ColPriority, strconv.Itoa(c.Priority))
 	r.add(table.ColTarget, strconv.Itoa(c.TargetMs))
 	r.add(table.ColDeadline, strconv.Itoa(c.DeadlineMs))
-	r.add(table.ColRecompute, number(c.Recompute))
+	r.add(table.ColRecompute, formatNumber(c.Recompute))
 	if c.MayBeLate {
 		r.add(table.ColMayBeLate, "true")
 	}
@@ -178,11 +192,11 @@
 	return r.Row
 }
 
-// Addresses of a deployment on loopback, from a first port on.
+// Port offsets of a deployment on loopback, relative to its base port.
 const (
 	portStore   = 0
-	portList    = 1
-	portEntry   = 10 // two ports each
+	portList    = 1  // the platform's list of endpoints, and control of the stand-ins
+	portEntry   = 10 // two ports per instance: callers and peers
 	portService = 200
 	portEngine  = 300
 )
@@ -191,11 +205,13 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port))
 }
 
-// StandIns returns the settings of the stand-ins.
+// StandinSettings returns the settings of the stand-ins on loopback, with ports
+// from base on. The cells in system are added to the default row of the initial
+// table. Endpoints and entry instances are assigned to the halls in turn.
 func (s *Spec) StandIns(base int, seed uint64, system ...table.Cell) (standin.Settings, error) {
 	doc, err := json.Marshal(s.Table(system...))
 	if err != nil {
-		return standin.Settings{}, fmt.Errorf("first table: %w", err)
+		return standin.Settings{}, fmt.Errorf("encode the initial table: %w", err)
 	}
 	set := standin.Settings{Store: loopback(base + portStore), List: loopback(base + portList), Seed: seed, Timing: s.Timing, Table: string(doc)}
 	n := 0
@@ -219,7 +235,8 @@
 	return set, nil
 }
 
-// Entry returns the settings of the i-th entry instance.
+// EntrySettings returns the settings of the i-th entry instance of a deployment
+// on loopback with ports from base on. Connections are in plain text.
 func (s *Spec) Entry(base, i int) settings.Serve {
 	return settings.Serve{
 		Name: fmt.Sprintf("entry-%02d", i), Hall: s.Halls[i%len(s.Halls)], Region: s.Region,
