--- a/internal/cmd/audit.go
+++ b/internal/cmd/audit.go
@@ -16,11 +16,11 @@
 func newAudit(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank audit", e)
 	f := addOperatorFlags(fs)
-	limit := fs.Int("limit", 50, "most edits shown")
+	limit := fs.Int("limit", 50, "maximum number of edits to show")
 	return &ffcli.Command{
 		Name:       "audit",
 		ShortUsage: "shelfcrank audit [-limit N] [-json]",
-		ShortHelp:  "Show the trail of accepted edits, newest first.",
+		ShortHelp:  "Show the accepted edits of the table, newest first.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, _ []string) error {
@@ -29,6 +29,8 @@
 	}
 }
 
+// printHistory prints the latest accepted edits, at most limit of them, as
+// reported by an entry instance.
 func printHistory(ctx context.Context, e *env, f operatorFlags, limit int) error {
 	var edits []table.Accepted
 	if err := f.call(ctx, http.MethodGet, "/operator/history?limit="+strconv.Itoa(limit), nil, &edits); err != nil {
--- a/internal/cmd/bench.go
+++ b/internal/cmd/bench.go
@@ -11,7 +11,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-const benchBase = 23000
+const defaultBenchBasePort = 23000
 
 func newBench(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank bench", e)
@@ -20,24 +20,24 @@
 	fs.StringVar(&o.Scenario, "scenario", "steady", experiment.ScenarioNames())
 	fs.StringVar(&o.Policy, "policy", "default", "default, round-robin, least-loaded, session-hash or on-demand-only")
 	fs.Uint64Var(&o.Seed, "seed", 1, "seed of traffic and faults")
-	fs.IntVar(&o.Seconds, "seconds", 20, "length of the traffic")
-	fs.Float64Var(&o.Scale, "scale", 1, "factor on the traffic")
-	fs.IntVar(&o.Entries, "entries", 0, "entry instances, instead of the deployment's")
-	fs.IntVar(&o.Engines, "engines", 0, "engines of the first model, instead of the deployment's")
-	fs.IntVar(&o.Base, "base", benchBase, "first port")
-	fs.StringVar(&o.KeepLogs, "logs", "", "folder for the processes' logs")
-	set := fs.String("set", "", "cells of the default row, as COLUMN=VALUE,…")
+	fs.IntVar(&o.Seconds, "seconds", 20, "duration of the traffic in seconds")
+	fs.Float64Var(&o.Scale, "scale", 1, "factor applied to the deployment's request rates")
+	fs.IntVar(&o.Entries, "entries", 0, "number of entry instances; 0 for the deployment's")
+	fs.IntVar(&o.Engines, "engines", 0, "number of engines of the first model; 0 for the deployment's")
+	fs.IntVar(&o.Base, "base", defaultBenchBasePort, "first port")
+	fs.StringVar(&o.KeepLogs, "logs", "", "directory for settings and logs of the processes; empty for a temporary one")
+	set := fs.String("set", "", "cells to set in the table's default row, as COLUMN=VALUE,…")
 	asJSON := fs.Bool("json", false, "print JSON")
-	report := fs.String("report", "", "draw the reports named as arguments (JSON files) into this PNG file, and run nothing")
+	report := fs.String("report", "", "plot the JSON reports given as arguments into this PNG file instead of running an experiment")
 	return &ffcli.Command{
 		Name:       "bench",
 		ShortUsage: "shelfcrank bench -deployment voltra|bazaarline -scenario NAME [-policy NAME] [-seed N] [-seconds N] [-json]",
-		ShortHelp:  "Run an experiment in separate processes on loopback and print what it measured.",
+		ShortHelp:  "Run an experiment in separate processes on loopback and print its measurements.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, args []string) error {
 			if *report != "" {
-				return drawReport(*report, args)
+				return plotReports(*report, args)
 			}
 			var err error
 			if o.Set, err = parseCells(*set); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-func drawReport(file string, args []string) error {
+func plotReports(file string, args []string) error {
 	if len(args) == 0 {
 		return usagef("-report needs JSON files of earlier runs as arguments")
 	}
@@ -67,6 +67,8 @@
 	return experiment.Plot(file, reports)
 }
 
+// parseCells parses a comma-separated list of COLUMN=VALUE and checks each value
+// against its column.
 func parseCells(s string) ([]table.Cell, error) {
 	var cells []table.Cell
 	for part := range strings.SplitSeq(s, ",") {
--- a/internal/cmd/check.go
+++ b/internal/cmd/check.go
@@ -16,13 +16,13 @@
 	return &ffcli.Command{
 		Name:       "check",
 		ShortUsage: "shelfcrank check [-json] FILE",
-		ShortHelp:  "Check a settings file and print every fault with its line and key.",
+		ShortHelp:  "Validate a settings file and print every fault with its line and key.",
 		FlagSet:    fs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) != 1 {
 				return usagef("check takes one settings file")
 			}
-			err := checkFile(args[0])
+			err := validateFile(args[0])
 			var faults *settings.FaultsError
 			if *asJSON {
 				list := []settings.Fault{}
@@ -44,8 +44,9 @@
 	}
 }
 
-// checkFile checks the settings of either kind of node.
-func checkFile(file string) error {
+// validateFile checks the settings of a front instance or of an entry instance,
+// whichever the file holds.
+func validateFile(file string) error {
 	if settings.IsFront(file) {
 		_, err := settings.LoadFront(file)
 		return err
--- a/internal/cmd/compare.go
+++ b/internal/cmd/compare.go
@@ -15,28 +15,28 @@
 func newCompare(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank compare", e)
 	o := experiment.CompareOptions{}
-	fs.StringVar(&o.Bench, "bench", "", "path of the users' bench")
-	fs.IntVar(&o.Parallel, "parallel", 4, "days played at the same time")
-	fs.StringVar(&o.Why, "why", "two versions compared", "noted with each run")
-	sites := fs.String("sites", "", "sheets of sites, with commas between")
-	days := fs.String("days", "trouble-1,trouble-2,scale-1", "standard days or paths of own days, with commas between")
-	seeds := fs.String("seeds", "1,2,3", "seeds, with commas between")
+	fs.StringVar(&o.Bench, "bench", "", "path of the external bench program")
+	fs.IntVar(&o.Parallel, "parallel", 4, "number of cases run concurrently")
+	fs.StringVar(&o.Why, "why", "two versions compared", "reason that the bench program records with each run")
+	sites := fs.String("sites", "", "comma-separated paths of site descriptions (TOML)")
+	days := fs.String("days", "trouble-1,trouble-2,scale-1", "comma-separated names of the bench program's standard days, or paths of day descriptions (TOML)")
+	seeds := fs.String("seeds", "1,2,3", "comma-separated seeds")
 	return &ffcli.Command{
 		Name:       "compare",
 		ShortUsage: "shelfcrank compare -bench PROGRAM -sites FILE,… [-days NAME,…] [-seeds N,…] [-parallel N] BEFORE AFTER",
-		ShortHelp:  "Play the same days with the versions in two folders and print the difference and its spread.",
+		ShortHelp:  "Run the same days with the versions in two directories and print the difference and its spread.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 2 || o.Bench == "" || *sites == "" {
-				return usagef("-bench, -sites and the folders of two versions are needed")
+				return usagef("-bench, -sites and the directories of two versions are needed")
 			}
 			var err error
-			if o.Plays, err = parsePlays(*sites, *days, *seeds); err != nil {
+			if o.Plays, err = parseCases(*sites, *days, *seeds); err != nil {
 				return err
 			}
 			o.Before, o.After = args[0], args[1]
-			if o.Bench, err = filepath.Abs(o.Bench); err != nil { // the runs start in other folders
+			if o.Bench, err = filepath.Abs(o.Bench); err != nil { // the bench program is started in other directories
 				return usagef("-bench: %w", err)
 			}
 			return compareVersions(ctx, e, o)
@@ -44,8 +44,9 @@
 	}
 }
 
-// parsePlays returns each day with each seed at each site.
-func parsePlays(sites, days, seeds string) ([]experiment.Play, error) {
+// parseCases returns every combination of site, day and seed. Paths are made
+// absolute, as the bench program is started in other directories.
+func parseCases(sites, days, seeds string) ([]experiment.Play, error) {
 	var plays []experiment.Play
 	for site := range strings.SplitSeq(sites, ",") {
 		sheet, err := filepath.Abs(site)
@@ -70,7 +71,8 @@
 	return plays, nil
 }
 
-// compareVersions prints each play as it ends and the summary of all.
+// compareVersions prints the result of each case as it ends, then the summary of
+// all. It prints the summary also if some cases failed.
 func compareVersions(ctx context.Context, e *env, o experiment.CompareOptions) error {
 	var results []experiment.PlayResult
 	err := experiment.Compare(ctx, o, func(r experiment.PlayResult) {
--- a/internal/cmd/demo.go
+++ b/internal/cmd/demo.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	demoBaseVoltra     = 21000
-	demoBaseBazaarline = 22000
+	demoBasePortVoltra     = 21000
+	demoBasePortBazaarline = 22000
 )
 
 func newDemo(e *env) *ffcli.Command {
@@ -23,7 +23,7 @@
 	return &ffcli.Command{
 		Name:       "demo",
 		ShortUsage: "shelfcrank demo [-json]",
-		ShortHelp:  "Run both users' traffic on embedded stand-ins and reclaim a hall midway.",
+		ShortHelp:  "Run both users' deployments in one process with stand-ins and reclaim a hall midway.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, _ []string) error {
@@ -39,19 +39,20 @@
 				}
 			}
 			if !ok {
-				return errors.New("a request was lost, doubled or answered wrongly")
+				return errors.New("a request was lost, executed twice or answered wrongly")
 			}
 			return nil
 		},
 	}
 }
 
-// runDemos runs both users' deployments side by side.
+// runDemos runs both users' deployments concurrently and returns their reports
+// in a fixed order.
 func runDemos(ctx context.Context) ([]experiment.DemoReport, error) {
 	demos := []struct {
 		name string
 		base int
-	}{{"voltra", demoBaseVoltra}, {"bazaarline", demoBaseBazaarline}}
+	}{{"voltra", demoBasePortVoltra}, {"bazaarline", demoBasePortBazaarline}}
 	reports := make([]experiment.DemoReport, len(demos))
 	errs := make([]error, len(demos))
 	var wait sync.WaitGroup
--- a/internal/cmd/docs.go
+++ b/internal/cmd/docs.go
@@ -11,11 +11,11 @@
 
 func newDocs(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank docs", e)
-	dir := fs.String("dir", "docs", "folder of the pages")
+	dir := fs.String("dir", "docs", "output directory")
 	return &ffcli.Command{
 		Name:       "docs",
 		ShortUsage: "shelfcrank docs [-dir DIR]",
-		ShortHelp:  "Write the pages that are generated from the code.",
+		ShortHelp:  "Write the documentation pages that are generated from the code.",
 		FlagSet:    fs,
 		Exec: func(context.Context, []string) error {
 			for name, text := range generatedDocs() {
--- a/internal/cmd/front.go
+++ b/internal/cmd/front.go
@@ -21,22 +21,24 @@
 	"github.com/shelfcrank/shelfcrank/platform"
 )
 
-// Memory that the process keeps to.
+// Memory limits of the process.
 const (
-	megabyte    = 1 << 20
-	memoryShare = 0.7 // of the machine's, from which garbage is collected harder
-	garbagePct  = 40  // memory is dearer than processor time on small machines
+	megabyte         = 1 << 20
+	memoryLimitShare = 0.7 // soft limit, as a fraction of the instance's memory; above it garbage is collected more often
+	gcPercent        = 40  // below Go's default of 100: on small instances memory is scarcer than CPU time
 )
 
-// serveFront runs a node between clients and servers on the users' platform.
+// serveFront runs a front instance, which forwards requests from clients to
+// endpoints on the users' platform, until ctx is done. SIGHUP makes it read its
+// settings file again.
 func serveFront(ctx context.Context, out io.Writer, file string, level zapcore.Level) error {
 	set, err := settings.LoadFront(file)
 	if err != nil {
 		return usageError{err}
 	}
-	debug.SetGCPercent(garbagePct)
+	debug.SetGCPercent(gcPercent)
 	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryMB) * megabyte))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(set.MemoryMB) * megabyte))
 	}
 	sink := logsink.New(out)
 	defer sink.Close()
@@ -46,8 +48,8 @@
 	defer signal.Stop(reload)
 	node, err := front.New(front.Options{
 		Settings: set, Net: netx.TCP{}, Decoder: platform.Decoder{}, Protocol: platform.Edge{},
-		Store: platform.NewStore(set.Store, storeTransport(), front.WatchWait.Milliseconds()),
-		Cloud: platform.NewCloud(set.Cloud, storeTransport()),
+		Store: platform.NewStore(set.Store, platformTransport(), front.WatchWait.Milliseconds()),
+		Cloud: platform.NewCloud(set.Cloud, platformTransport()),
 		Clock: clock.New(clock.System{}), Log: log, Seed: rand.Uint64(), Reload: reload,
 		Reread: func() (settings.Front, error) { return settings.LoadFront(file) },
 	})
@@ -57,12 +59,14 @@
 	return node.Run(ctx)
 }
 
-// idleCalls is how long an idle connection to the store or the cloud is kept.
-const idleCalls = 5 * time.Second
+// idleConnTimeout is how long an idle connection to the store or to the cloud
+// interface is kept open.
+const idleConnTimeout = 5 * time.Second
 
-// storeTransport returns a transport for calls of the platform.
-func storeTransport() http.RoundTripper {
+// platformTransport returns an HTTP transport for calls to the platform's store
+// and cloud interface.
+func platformTransport() http.RoundTripper {
 	t := netx.Transport(netx.TCP{})
-	t.IdleConnTimeout = idleCalls
+	t.IdleConnTimeout = idleConnTimeout
 	return t
 }
--- a/internal/cmd/generate.go
+++ b/internal/cmd/generate.go
@@ -15,7 +15,8 @@
 
 const generatedNote = "\nThis page is generated from the code by `go run . docs`; a test fails when it is stale.\n"
 
-// generatedDocs returns the pages that follow from the code, by file name.
+// generatedDocs returns the text of the documentation pages that are generated
+// from the code, by file name.
 func generatedDocs() map[string]string {
 	return map[string]string{
 		"events.md":   eventsPage(),
@@ -53,13 +54,16 @@
 	var b strings.Builder
 	b.WriteString("# Settings of an entry instance\n" + generatedNote)
 	b.WriteString("\nSettings place a process; policy is in the table. `shelfcrank check FILE` names every fault.\n\n| key | type | meaning |\n| --- | --- | --- |\n")
-	settingsRows(&b, reflect.TypeFor[settings.Serve](), "")
-	b.WriteString("\n# Settings of a node on the users' platform\n\n| key | type | meaning |\n| --- | --- | --- |\n")
-	settingsRows(&b, reflect.TypeFor[settings.Front](), "")
+	writeSettingsRows(&b, reflect.TypeFor[settings.Serve](), "")
+	b.WriteString("\n# Settings of a front instance on the users' platform\n\n| key | type | meaning |\n| --- | --- | --- |\n")
+	writeSettingsRows(&b, reflect.TypeFor[settings.Front](), "")
 	return b.String()
 }
 
-func settingsRows(w io.Writer, t reflect.Type, prefix string) {
+// writeSettingsRows writes a row of a Markdown table for each field of the
+// settings struct t, and for the fields of nested structs. prefix precedes each
+// key.
+func writeSettingsRows(w io.Writer, t reflect.Type, prefix string) {
 	for f := range t.Fields() {
 		key := prefix + f.Tag.Get("toml")
 		kind := f.Type.String()
@@ -71,7 +75,7 @@
 		}
 		fmt.Fprintf(w, "| `%s` | %s | %s |\n", key, kind, f.Tag.Get("help"))
 		if kind == "table" {
-			settingsRows(w, f.Type, key+".")
+			writeSettingsRows(w, f.Type, key+".")
 		}
 	}
 }
@@ -79,13 +83,15 @@
 func commandsPage() string {
 	var b strings.Builder
 	b.WriteString("# Commands\n" + generatedNote + "\nExit codes: 0 done, 1 failed, 2 wrong usage or input.\n\n| command | does |\n| --- | --- |\n")
-	commandRows(&b, newRoot(&env{io.Discard, io.Discard}))
+	writeCommandRows(&b, newRoot(&env{io.Discard, io.Discard}))
 	return b.String()
 }
 
-func commandRows(w io.Writer, c *ffcli.Command) {
+// writeCommandRows writes a row of a Markdown table for each direct and indirect
+// subcommand of c.
+func writeCommandRows(w io.Writer, c *ffcli.Command) {
 	for _, s := range c.Subcommands {
 		fmt.Fprintf(w, "| `%s` | %s |\n", strings.ReplaceAll(s.ShortUsage, "|", "\\|"), s.ShortHelp)
-		commandRows(w, s)
+		writeCommandRows(w, s)
 	}
 }
--- a/internal/cmd/keys.go
+++ b/internal/cmd/keys.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	keysDays = 30
-	dirMode  = 0o700
+	defaultCertDays = 30
+	keyDirMode      = 0o700
 )
 
 func newKeys(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank keys", e)
-	dir := fs.String("dir", "keys", "folder of the files")
-	days := fs.Int("days", keysDays, "days until the certificates end")
+	dir := fs.String("dir", "keys", "directory for the certificate and key files")
+	days := fs.Int("days", defaultCertDays, "validity of the certificates in days")
 	return &ffcli.Command{
 		Name:       "keys",
 		ShortUsage: "shelfcrank keys [-dir DIR] [-days N] NAME IP...",
-		ShortHelp:  "Make a development authority, if there is none, and a certificate for an entry instance.",
+		ShortHelp:  "Create a development certificate authority, unless there is one, and a certificate for an entry instance.",
 		FlagSet:    fs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) < 2 {
@@ -39,7 +39,7 @@
 				addrs = append(addrs, addr)
 			}
 			until := time.Now().AddDate(0, 0, *days)
-			if err := os.MkdirAll(*dir, dirMode); err != nil {
+			if err := os.MkdirAll(*dir, keyDirMode); err != nil {
 				return err
 			}
 			if err := keys.MakeAuthority(*dir, until); err != nil {
--- a/internal/cmd/operator.go
+++ b/internal/cmd/operator.go
@@ -17,7 +17,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/gateway"
 )
 
-// operatorFlags are the flags of commands that talk to an entry instance.
+// operatorFlags holds the flags shared by commands that call the operator API of
+// an entry instance.
 type operatorFlags struct {
 	addr      *string
 	key       *string
@@ -28,13 +29,14 @@
 func addOperatorFlags(fs *flag.FlagSet) operatorFlags {
 	return operatorFlags{
 		addr:      fs.String("addr", "127.0.0.1:8080", "address of an entry instance"),
-		key:       fs.String("key", "", "operator's key; better given as "+envPrefix+"_KEY"),
-		authority: fs.String("authority", "", "certificate of the authority; given, TLS is used"),
+		key:       fs.String("key", "", "operator's API key; set "+envPrefix+"_KEY instead to keep it off the command line"),
+		authority: fs.String("authority", "", "certificate file of the authority (PEM); if set, TLS is used"),
 		json:      fs.Bool("json", false, "print JSON"),
 	}
 }
 
-// client returns the HTTP client and the scheme that it speaks.
+// client returns an HTTP client and the URL scheme to use with it: https if an
+// authority was given, http otherwise.
 func (f operatorFlags) client() (*http.Client, string, error) {
 	if *f.authority == "" {
 		return http.DefaultClient, "http", nil
@@ -52,7 +54,8 @@
 
 const operatorTimeout = 15 * time.Second
 
-// call makes an operator's call and decodes its answer into out.
+// call sends a request to the operator API, with in as its JSON body unless in
+// is nil, and decodes the JSON response into out.
 func (f operatorFlags) call(ctx context.Context, method, path string, in, out any) error {
 	addr, err := netip.ParseAddrPort(*f.addr)
 	if err != nil {
--- a/internal/cmd/quarantine.go
+++ b/internal/cmd/quarantine.go
@@ -24,7 +24,7 @@
 	return &ffcli.Command{
 		Name:        "quarantine",
 		ShortUsage:  "shelfcrank quarantine list|lift",
-		ShortHelp:   "Show the requests under which endpoints ended, or let one run again.",
+		ShortHelp:   "Show requests suspected of crashing endpoints, or allow one to run again.",
 		FlagSet:     fs,
 		Options:     fromEnv(),
 		Subcommands: []*ffcli.Command{newQuarantineList(e), newQuarantineLift(e)},
@@ -32,18 +32,18 @@
 	}
 }
 
-func metricsAddress(fs *flag.FlagSet) *string {
+func addMetricsAddressFlag(fs *flag.FlagSet) *string {
 	return fs.String("addr", "127.0.0.1:9464", "metrics address of an instance")
 }
 
 func newQuarantineList(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank quarantine list", e)
-	addr := metricsAddress(fs)
+	addr := addMetricsAddressFlag(fs)
 	asJSON := fs.Bool("json", false, "print JSON")
 	return &ffcli.Command{
 		Name:       "list",
 		ShortUsage: "shelfcrank quarantine list [-addr ADDR] [-json]",
-		ShortHelp:  "Show the requests under which endpoints ended, as one instance knows them.",
+		ShortHelp:  "Show the requests that one instance suspects of crashing endpoints.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, _ []string) error {
@@ -53,7 +53,7 @@
 			}
 			var all []front.SuspectStatus
 			if err := json.Unmarshal(body, &all); err != nil {
-				return fmt.Errorf("read the list: %w", err)
+				return fmt.Errorf("decode the quarantine list: %w", err)
 			}
 			if *asJSON {
 				return e.printJSON(all)
@@ -65,11 +65,11 @@
 
 func newQuarantineLift(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank quarantine lift", e)
-	addr := metricsAddress(fs)
+	addr := addMetricsAddressFlag(fs)
 	return &ffcli.Command{
 		Name:       "lift",
 		ShortUsage: "shelfcrank quarantine lift [-addr ADDR] FINGERPRINT",
-		ShortHelp:  "Let a request run again at all instances. The first digits of its fingerprint do.",
+		ShortHelp:  "Allow a request to run again on all instances. A prefix of its fingerprint is enough.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, args []string) error {
@@ -82,7 +82,8 @@
 	}
 }
 
-// callMetrics makes a call at the metrics address of an instance.
+// callMetrics sends a request to the metrics address of an instance and returns
+// the response body. A status of 300 or above is an error.
 func callMetrics(ctx context.Context, method, addr, path string) ([]byte, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -101,7 +102,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, fmt.Errorf("read the answer of %s: %w", at, err)
+		return nil, fmt.Errorf("read the response of %s: %w", at, err)
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return nil, fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(body)))
@@ -111,22 +112,23 @@
 
 func printSuspects(e *env, all []front.SuspectStatus) error {
 	w := tabwriter.NewWriter(e.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "FINGERPRINT\tACCOUNT\tSTATE\tENDPOINTS THAT ENDED")
+	fmt.Fprintln(w, "FINGERPRINT\tACCOUNT\tSTATE\tCRASHED ENDPOINTS")
 	for _, s := range all {
 		endpoints := lo.Keys(s.Ends)
 		slices.Sort(endpoints)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", s.Fingerprint, s.Account, stateOf(s, time.Now()), strings.Join(endpoints, " "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", s.Fingerprint, s.Account, describeState(s, time.Now()), strings.Join(endpoints, " "))
 	}
 	return w.Flush()
 }
 
-// stateOf says in words how a suspect may run.
-func stateOf(s front.SuspectStatus, now time.Time) string {
+// describeState returns a description of whether a suspected request may run at
+// the time now.
+func describeState(s front.SuspectStatus, now time.Time) string {
 	switch {
 	case s.Until != nil && now.Before(*s.Until):
-		return "does not run until " + s.Until.Format(time.RFC3339)
+		return "quarantined until " + s.Until.Format(time.RFC3339)
 	case s.Until != nil:
-		return "one run decides"
+		return "on probation: the outcome of one run decides"
 	case len(s.Ends) == 0 && s.ClearedAt != nil:
 		return "cleared"
 	}
--- a/internal/cmd/root.go
+++ b/internal/cmd/root.go
@@ -1,4 +1,5 @@
-// Package cmd is the command line: one file for each subcommand.
+// Package cmd implements the shelfcrank command line, with one file for each
+// subcommand.
 //
 // Exit codes: 0 done, 1 failed, 2 wrong usage or input.
 package cmd
@@ -26,7 +27,8 @@
 	exitUsage  = 2
 )
 
-// usageError is a wrong use of a command or a wrong input.
+// usageError marks an error that is due to wrong usage or invalid input. Main
+// returns exitUsage for it.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
@@ -34,17 +36,18 @@
 
 func usagef(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// env is what all subcommands share.
+// env holds the output streams that all subcommands share.
 type env struct {
 	out io.Writer
 	err io.Writer
 }
 
-// envPrefix begins the names of environment variables that set flags:
+// envPrefix is the prefix of the environment variables that set flags:
 // SHELFCRANK_SETTINGS sets -settings.
 const envPrefix = "SHELFCRANK"
 
-// Main runs the command line and returns its exit code.
+// Main runs the command given by args and returns the exit code of the process.
+// SIGTERM and SIGINT cancel the command's context.
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -94,7 +97,7 @@
 // printJSON writes v as one line of JSON.
 func (e *env) printJSON(v any) error { return json.NewEncoder(e.out).Encode(v) }
 
-// newLogger returns the log of a process, as JSON lines.
+// newLogger returns a logger that writes JSON lines to w.
 func newLogger(w io.Writer, level zapcore.Level) *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -23,7 +23,7 @@
 	return &ffcli.Command{
 		Name:       "serve",
 		ShortUsage: "shelfcrank serve -settings FILE",
-		ShortHelp:  "Run one node until SIGTERM, which is a planned stop.",
+		ShortHelp:  "Run one instance until SIGTERM, which starts a planned stop.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, _ []string) error {
@@ -54,6 +54,8 @@
 	return set, nil
 }
 
+// serve runs an entry instance until ctx is done. It fails if the planned stop
+// left requests that no other instance took over.
 func serve(ctx context.Context, set settings.Serve, log *zap.Logger) error {
 	defer func() { _ = log.Sync() }()
 	o := entry.Options{Settings: set, Net: netx.TCP{}, Clock: clock.New(clock.System{}), Log: log, Seed: rand.Uint64()}
--- a/internal/cmd/soak.go
+++ b/internal/cmd/soak.go
@@ -14,22 +14,22 @@
 	"github.com/shelfcrank/shelfcrank/internal/soak"
 )
 
-// errViolations says that a soak broke a rule.
-var errViolations = errors.New("rules were broken")
+// errViolations is returned for a soak run with violations of the checked rules.
+var errViolations = errors.New("the run violated one or more rules")
 
 func newSoak(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank soak", e)
-	file := fs.String("scenario", "", "scenario file (TOML), instead of the default one")
-	seed := fs.Uint64("seed", 0, "seed of the faults; 0 draws one")
-	seconds := fs.Int("seconds", 0, "length of the traffic, instead of the scenario's")
-	instances := fs.Int("instances", 0, "front instances, instead of the scenario's")
-	endpoints := fs.Int("endpoints", 0, "endpoints of each service, instead of the scenario's")
-	only := fs.String("only", "", "kinds of faults to play, separated by commas; empty for all")
-	without := fs.String("without", "", "kinds of faults to leave out")
-	logs := fs.String("logs", "", "folder to keep settings and logs in")
+	file := fs.String("scenario", "", "scenario file (TOML); empty for the default scenario")
+	seed := fs.Uint64("seed", 0, "seed of the faults; 0 for a random one")
+	seconds := fs.Int("seconds", 0, "duration of the traffic in seconds; 0 for the scenario's")
+	instances := fs.Int("instances", 0, "number of front instances; 0 for the scenario's")
+	endpoints := fs.Int("endpoints", 0, "number of endpoints of each service; 0 for the scenario's")
+	only := fs.String("only", "", "comma-separated kinds of faults to inject; empty for all")
+	without := fs.String("without", "", "comma-separated kinds of faults to leave out")
+	logs := fs.String("logs", "", "directory for settings and logs; empty for a temporary one")
 	asJSON := fs.Bool("json", false, "print the report as JSON")
-	plot := fs.String("plot", "", "draw served, refused and failed attempts and the faults over time into this PNG or SVG file")
-	shrink := fs.Int("shrink", 0, "after a violation, leave out faults while it remains, in so many runs at the most")
+	plot := fs.String("plot", "", "plot served, refused and failed attempts and the faults over time into this PNG or SVG file")
+	shrink := fs.Int("shrink", 0, "after a violation, remove faults as long as it still occurs, in at most this many further runs")
 	return &ffcli.Command{
 		Name:       "soak",
 		ShortUsage: "shelfcrank soak [-seconds N] [-seed N] [-instances N] [-only KINDS] [-without KINDS]",
@@ -41,10 +41,10 @@
 			if err != nil {
 				return usageError{err}
 			}
-			override(&s.Seconds, *seconds)
-			override(&s.Instances, *instances)
-			override(&s.Engines, *endpoints)
-			override(&s.Services, *endpoints)
+			overrideInt(&s.Seconds, *seconds)
+			overrideInt(&s.Instances, *instances)
+			overrideInt(&s.Engines, *endpoints)
+			overrideInt(&s.Services, *endpoints)
 			s.Select(parseKinds(*only), parseKinds(*without))
 			if *seed == 0 {
 				*seed = uint64(rand.Uint32())
@@ -90,8 +90,8 @@
 	return soak.Parse(text)
 }
 
-// override sets a value if it was given.
-func override(to *int, given int) {
+// overrideInt sets *to to given if given is positive.
+func overrideInt(to *int, given int) {
 	if given > 0 {
 		*to = given
 	}
@@ -107,7 +107,8 @@
 	return out
 }
 
-// soakDir returns the folder of a run, and what removes one that is not to be kept.
+// soakDir returns the directory of a run and a function to call after the run,
+// which removes the directory if it is a temporary one.
 func soakDir(keep string) (string, func(), error) {
 	if keep == "" {
 		return soak.TempDir()
@@ -125,7 +126,7 @@
 }
 
 func (e *env) printShrunk(actions []soak.Action, runs int) {
-	fmt.Fprintf(e.out, "after %d more runs these faults remain:\n", runs)
+	fmt.Fprintf(e.out, "remaining faults after %d more runs:\n", runs)
 	for _, a := range actions {
 		fmt.Fprintln(e.out, a)
 	}
--- a/internal/cmd/standin.go
+++ b/internal/cmd/standin.go
@@ -15,7 +15,7 @@
 	return &ffcli.Command{
 		Name:       "standin",
 		ShortUsage: "shelfcrank standin -settings FILE",
-		ShortHelp:  "Run the platform's and the endpoints' stand-ins on loopback.",
+		ShortHelp:  "Run stand-ins for the platform and the endpoints on loopback.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, _ []string) error {
--- a/internal/cmd/status.go
+++ b/internal/cmd/status.go
@@ -20,7 +20,7 @@
 	return &ffcli.Command{
 		Name:       "status",
 		ShortUsage: "shelfcrank status [-addr ADDR] [-json]",
-		ShortHelp:  "Show members, halls, endpoints, and the revision in force by instance.",
+		ShortHelp:  "Show the members with their halls and table revisions, and the endpoints.",
 		FlagSet:    fs,
 		Options:    fromEnv(),
 		Exec: func(ctx context.Context, _ []string) error {
@@ -39,7 +39,7 @@
 func printStatus(e *env, s gateway.Status) error {
 	fmt.Fprintf(e.out, "%s in %s: table revision %d, view %d, %d records, %d claims\n\n", s.Instance, s.Hall, s.Revision, s.Epoch, s.Records, s.Claims)
 	w := tabwriter.NewWriter(e.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "INSTANCE\tHALL\tSTATE\tREVISION\tHEARD")
+	fmt.Fprintln(w, "INSTANCE\tHALL\tSTATE\tREVISION\tLAST SEEN")
 	for _, m := range s.Members {
 		state := m.State
 		if m.Leaving {
--- a/internal/cmd/table.go
+++ b/internal/cmd/table.go
@@ -81,7 +81,7 @@
 	return w.Flush()
 }
 
-// editFlags are the flags of commands that edit.
+// editFlags holds the flags shared by commands that edit the table.
 type editFlags struct {
 	operatorFlags
 	was   *string
@@ -93,14 +93,15 @@
 func addEditFlags(fs *flag.FlagSet) editFlags {
 	return editFlags{
 		operatorFlags: addOperatorFlags(fs),
-		was:           fs.String("was", "", "value you saw; if the cell has another one by now, nothing is changed"),
+		was:           fs.String("was", "", "expected current value; the edit is rejected if the cell has another one"),
 		force:         fs.Bool("force", false, "allow an edit that locks everyone out or makes all weights zero"),
-		id:            fs.String("edit-id", "", "id of the edit; give the one printed when an outcome was not known"),
+		id:            fs.String("edit-id", "", "ID of the edit; to retry an edit whose outcome is unknown, give the ID printed with it"),
 		fs:            fs,
 	}
 }
 
-// positional takes n arguments; flags may stand before or after them.
+// positional returns the first n arguments and parses the remaining ones as
+// flags, so that flags may also follow the arguments.
 func (f editFlags) positional(args []string, n int) ([]string, error) {
 	if len(args) < n {
 		return nil, usagef("%d arguments are needed", n)
@@ -114,22 +115,26 @@
 	return args[:n], nil
 }
 
-func (f editFlags) wasGiven() bool {
+// hasWas reports whether -was was given; its value may be empty.
+func (f editFlags) hasWas() bool {
 	given := false
 	f.fs.Visit(func(fl *flag.Flag) { given = given || fl.Name == "was" })
 	return given
 }
 
-const editIDBytes = 8
+const editIDLength = 8
 
+// send posts an edit and prints its outcome. An edit without -edit-id gets a
+// random ID, which is part of the error message so that the edit can be retried
+// under the same ID.
 func (f editFlags) send(ctx context.Context, e *env, edit table.Edit) error {
 	edit.ID, edit.Force = *f.id, *f.force
 	if edit.ID == "" {
-		var b [editIDBytes]byte
+		var b [editIDLength]byte
 		_, _ = rand.Read(b[:]) // never fails
 		edit.ID = hex.EncodeToString(b[:])
 	}
-	edit.Was, edit.HasWas = *f.was, f.wasGiven()
+	edit.Was, edit.HasWas = *f.was, f.hasWas()
 	var a gateway.EditAnswer
 	if err := f.call(ctx, http.MethodPost, "/operator/edits", gateway.NewEditRequest(edit), &a); err != nil {
 		return fmt.Errorf("edit %s: %w", edit.ID, err)
@@ -192,7 +197,7 @@
 func newTableHistory(e *env) *ffcli.Command {
 	fs := newFlags("shelfcrank table history", e)
 	f := addOperatorFlags(fs)
-	limit := fs.Int("limit", 50, "most edits shown")
+	limit := fs.Int("limit", 50, "maximum number of edits to show")
 	return &ffcli.Command{
 		Name: "history", ShortUsage: "shelfcrank table history [-limit N]", ShortHelp: "Show the accepted edits, newest first.",
 		FlagSet: fs, Options: fromEnv(),
@@ -200,7 +205,7 @@
 	}
 }
 
-// tableFile is the form of an exported table.
+// tableFile is the TOML form of an exported table.
 type tableFile struct {
 	Revision uint64      `toml:"revision"`
 	Rows     []table.Row `toml:"rows"`
@@ -226,7 +231,7 @@
 	fs := newFlags("shelfcrank table import", e)
 	f := addEditFlags(fs)
 	return &ffcli.Command{
-		Name: "import", ShortUsage: "shelfcrank table import FILE", ShortHelp: "Make the edits that lead from the table in force to a TOML file, one by one.",
+		Name: "import", ShortUsage: "shelfcrank table import FILE", ShortHelp: "Apply the edits that turn the table in force into the one in a TOML file, one by one.",
 		FlagSet: fs, Options: fromEnv(),
 		Exec: func(ctx context.Context, args []string) error {
 			p, err := f.positional(args, 1)
