--- a/bench/embed.go
+++ b/bench/embed.go
@@ -1,11 +1,12 @@
-// Package bench holds the descriptions of the deployments that experiments run
-// on: places, sizes, the stand-ins' timing, prices, the first table and the
-// traffic. They are the same for all policies.
+// Package bench embeds the descriptions of the deployments that experiments run:
+// region and halls, numbers of instances and endpoints, the stand-ins' timing,
+// prices, the rows of the initial table, and the traffic. All policies are
+// measured with the same descriptions.
 package bench
 
 import "embed"
 
-// Files has one TOML file per deployment.
+// Files holds one TOML file per deployment, named after it.
 //
 //go:embed *.toml
 var Files embed.FS
--- a/main.go
+++ b/main.go
@@ -1,4 +1,5 @@
-// Command shelfcrank is a serving system on reclaimable instances.
+// Command shelfcrank runs the instances of a serving system for reclaimable
+// instances, the operators' commands, and the system's experiments.
 package main
 
 import (
