--- a/internal/cmd/compare.go
+++ b/internal/cmd/compare.go
@@ -17,7 +17,7 @@
 	o := experiment.CompareOptions{}
 	fs.StringVar(&o.Bench, "bench", "", "path of the external bench program")
 	fs.IntVar(&o.Parallel, "parallel", 4, "number of cases run concurrently")
-	fs.StringVar(&o.Why, "why", "two versions compared", "reason that the bench program records with each run")
+	fs.StringVar(&o.Reason, "why", "two versions compared", "reason that the bench program records with each run")
 	sites := fs.String("sites", "", "comma-separated paths of site descriptions (TOML)")
 	days := fs.String("days", "trouble-1,trouble-2,scale-1", "comma-separated names of the bench program's standard days, or paths of day descriptions (TOML)")
 	seeds := fs.String("seeds", "1,2,3", "comma-separated seeds")
@@ -32,7 +32,7 @@
 				return usagef("-bench, -sites and the directories of two versions are needed")
 			}
 			var err error
-			if o.Plays, err = parseCases(*sites, *days, *seeds); err != nil {
+			if o.Cases, err = parseCases(*sites, *days, *seeds); err != nil {
 				return err
 			}
 			o.Before, o.After = args[0], args[1]
@@ -46,8 +46,8 @@
 
 // parseCases returns every combination of site, day and seed. Paths are made
 // absolute, as the bench program is started in other directories.
-func parseCases(sites, days, seeds string) ([]experiment.Play, error) {
-	var plays []experiment.Play
+func parseCases(sites, days, seeds string) ([]experiment.Case, error) {
+	var cases []experiment.Case
 	for site := range strings.SplitSeq(sites, ",") {
 		sheet, err := filepath.Abs(site)
 		if err != nil {
@@ -64,23 +64,23 @@
 				if err != nil {
 					return nil, usagef("-seeds: %w", err)
 				}
-				plays = append(plays, experiment.Play{Site: sheet, Day: day, Seed: n})
+				cases = append(cases, experiment.Case{Site: sheet, Day: day, Seed: n})
 			}
 		}
 	}
-	return plays, nil
+	return cases, nil
 }
 
 // compareVersions prints the result of each case as it ends, then the summary of
 // all. It prints the summary also if some cases failed.
 func compareVersions(ctx context.Context, e *env, o experiment.CompareOptions) error {
-	var results []experiment.PlayResult
-	err := experiment.Compare(ctx, o, func(r experiment.PlayResult) {
+	var results []experiment.CaseResult
+	err := experiment.Compare(ctx, o, func(r experiment.CaseResult) {
 		results = append(results, r)
-		fmt.Fprintf(e.out, "%-40s %6.3f %6.3f %+6.3f\n", r.Play, r.Before, r.After, r.After-r.Before)
+		fmt.Fprintf(e.out, "%-40s %6.3f %6.3f %+6.3f\n", r.Case, r.Before, r.After, r.After-r.Before)
 	})
 	s := experiment.Summarize(results)
 	fmt.Fprintf(e.out, "%-40s %6.3f %6.3f %+6.3f, spread %.3f, standard error %.3f\n",
-		fmt.Sprintf("mean of %d", s.Plays), s.Before, s.After, s.After-s.Before, s.Spread, s.Error)
+		fmt.Sprintf("mean of %d", s.Cases), s.Before, s.After, s.After-s.Before, s.Spread, s.Error)
 	return err
 }
--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -19,7 +19,7 @@
 	"github.com/shelfcrank/shelfcrank/internal/traffic"
 )
 
-// Quantiles of a measure, in milliseconds.
+// Quantiles holds quantiles and the maximum of a latency, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -27,6 +27,7 @@
 	Max float64 `json:"max"`
 }
 
+// quantiles returns the quantiles of a histogram of microseconds.
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	const perMs = 1000.0
 	return Quantiles{
@@ -35,19 +36,19 @@
 	}
 }
 
-// StoreRate is the rate of calls to the key-value service.
+// StoreRate holds the calls per second to the key-value store.
 type StoreRate struct {
 	Read  float64 `json:"read"`
 	Write float64 `json:"write"`
 }
 
-// Report is what an experiment measured. Counts come from the callers and the
-// stand-ins, never from the system's own counters.
+// Report holds the measurements of an experiment. All counts are taken by the
+// callers and the stand-ins, never from counters of the measured system.
 type Report struct {
 	Deployment        string                         `json:"deployment"`
 	Scenario          string                         `json:"scenario"`
 	Policy            string                         `json:"policy"`
-	Set               string                         `json:"set,omitempty"` // cells of the default row set for the run
+	Set               string                         `json:"set,omitempty"` // cells set in the table's default row
 	Seed              uint64                         `json:"seed"`
 	Seconds           int                            `json:"seconds"`
 	Entries           int                            `json:"entries"`
@@ -76,41 +77,42 @@
 	TableInForce      Quantiles                      `json:"table_in_force_ms"`
 	TableReverts      int                            `json:"table_reverts"`
 	StoreCalls        StoreRate                      `json:"store_calls_per_s"`
-	ControlBytes      float64                        `json:"control_bytes_per_s"` // by entry instance, before traffic
-	ControlCPU        float64                        `json:"control_cpu_share"`   // of one core, by entry instance, before traffic
-	CPU               float64                        `json:"cpu_share"`           // of one core, by entry instance, under traffic
-	MemoryMB          float64                        `json:"memory_mb"`           // largest entry instance, at the end
+	ControlBytes      float64                        `json:"control_bytes_per_s"` // mean per entry instance, before traffic
+	ControlCPU        float64                        `json:"control_cpu_share"`   // of one core, mean per entry instance, before traffic
+	CPU               float64                        `json:"cpu_share"`           // of one core, mean per entry instance, under traffic
+	MemoryMB          float64                        `json:"memory_mb"`           // maximum over the entry instances, at the end
 	ByClass           map[string]*traffic.ClassTally `json:"by_class"`
 	Edits             *EditTally                     `json:"edits,omitempty"`
 	Errors            []string                       `json:"errors,omitempty"`
 }
 
-// BenchOptions choose an experiment.
+// BenchOptions configures an experiment.
 type BenchOptions struct {
 	Deployment string
 	Scenario   string
 	Policy     string
 	Seed       uint64
 	Seconds    int
-	Scale      float64      // of the traffic
-	Entries    int          // instead of the deployment's, if not 0
-	Engines    int          // instead of the first model's, if not 0
-	Set        []table.Cell // cells of the default row
+	Scale      float64      // factor applied to the request rates
+	Entries    int          // overrides the deployment's if not 0
+	Engines    int          // overrides the first model's if not 0
+	Set        []table.Cell // cells to set in the table's default row
 	Base       int          // first port
-	KeepLogs   string       // folder for the processes' logs; empty for a temporary one
+	KeepLogs   string       // directory for settings and logs of the processes; empty for a temporary one
 }
 
-// PolicyOnDemand is the fleet baseline that buys no reclaimable instance.
+// PolicyOnDemand names the baseline for costs: all engines run on on-demand
+// instances, none on reclaimable ones, and the table's policy stays unset.
 const PolicyOnDemand = "on-demand-only"
 
 const (
-	idleWindow  = 2 * time.Second
-	settleWait  = 2500 * time.Millisecond
-	overheadGap = 50 * time.Millisecond
+	idleWindow            = 2 * time.Second
+	viewSettleTime        = 2500 * time.Millisecond
+	overheadProbeInterval = 50 * time.Millisecond
 )
 
-// bench is a running experiment.
-type bench struct {
+// benchRun is the state of a running experiment.
+type benchRun struct {
 	o        BenchOptions
 	spec     *deployment.Spec
 	procs    *Processes
@@ -118,20 +120,23 @@
 	client   *traffic.Client
 	report   *Report
 
-	mu     sync.Mutex
-	errors []string                // guarded by mu
-	direct *hdrhistogram.Histogram // guarded by mu
-	via    *hdrhistogram.Histogram // guarded by mu
-	table  *hdrhistogram.Histogram // guarded by mu
-	last   map[int]revisionSeen    // guarded by mu
+	mu            sync.Mutex
+	errors        []string                 // guarded by mu
+	directLatency *hdrhistogram.Histogram  // guarded by mu
+	viaEntry      *hdrhistogram.Histogram  // guarded by mu
+	timeToInForce *hdrhistogram.Histogram  // guarded by mu
+	lastRevisions map[int]observedRevision // guarded by mu
 }
 
-type revisionSeen struct {
+// observedRevision is the table revision that an instance last reported. A
+// restarted process has another instance ID.
+type observedRevision struct {
 	instance string
 	revision uint64
 }
 
-// Bench runs an experiment in separate processes.
+// Bench runs an experiment with the entry instances and the stand-ins in
+// separate processes on loopback, and returns its measurements.
 func Bench(ctx context.Context, o BenchOptions) (*Report, error) {
 	spec, err := deployment.Load(o.Deployment)
 	if err != nil {
@@ -164,9 +169,9 @@
 	}
 	defer procs.Stop()
 	transport := netx.Transport(netx.TCP{})
-	b := &bench{
+	b := &benchRun{
 		o: o, spec: spec, procs: procs, balancer: traffic.NewBalancer(transport, procs.Callers(), o.Seed),
-		direct: newHist(), via: newHist(), table: newHist(), last: make(map[int]revisionSeen),
+		directLatency: newHistogram(), viaEntry: newHistogram(), timeToInForce: newHistogram(), lastRevisions: make(map[int]observedRevision),
 	}
 	b.client = traffic.NewClient(transport, b.balancer)
 	b.report = &Report{Deployment: o.Deployment, Scenario: o.Scenario, Policy: o.Policy, Set: fmt.Sprint(o.Set), Seed: o.Seed, Seconds: o.Seconds, Entries: spec.Entries, Processes: "separate"}
@@ -176,17 +181,20 @@
 	return b.report, nil
 }
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
+// newHistogram returns a histogram for 1 µs to 300 s.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
 
-func (b *bench) run(ctx context.Context, s scenario) error {
+// run measures the idle instances, then sends the scenario's traffic and injects
+// its faults, and fills in the report.
+func (b *benchRun) run(ctx context.Context, s scenario) error {
 	if err := WaitReady(ctx, b.balancer, b.spec.Entries); err != nil {
 		return err
 	}
-	time.Sleep(settleWait) // the view takes in all instances
-	before := b.usages()
+	time.Sleep(viewSettleTime) // until all instances are in the view
+	before := b.processUsages()
 	bytesBefore := b.peerBytes(ctx)
 	time.Sleep(idleWindow)
-	b.report.ControlCPU = cpuShare(before, b.usages(), idleWindow)
+	b.report.ControlCPU = cpuShare(before, b.processUsages(), idleWindow)
 	b.report.ControlBytes = (b.peerBytes(ctx) - bytesBefore) / idleWindow.Seconds() / float64(b.spec.Entries)
 	truth0, err := b.procs.Truth(ctx)
 	if err != nil {
@@ -195,7 +203,7 @@
 	side, stopSide := context.WithCancel(ctx)
 	var wait sync.WaitGroup
 	wait.Go(func() { b.balancer.Run(side) })
-	if s.name == "steady" { // elsewhere it would call endpoints that are leaving
+	if s.name == "steady" { // in other scenarios the direct calls could go to leaving endpoints
 		wait.Go(func() { b.probeOverhead(side) })
 	}
 	wait.Go(func() { b.probeTable(side, s.edits) })
@@ -203,24 +211,26 @@
 	length := time.Duration(b.o.Seconds) * time.Second
 	wait.Go(func() { s.faults(side, b, length) })
 	load := traffic.NewLoad(b.spec, b.client, b.o.Seed, func(class string) float64 { return b.o.Scale * s.scale(b.spec.Class(class)) })
-	before = b.usages()
+	before = b.processUsages()
 	tally := load.Run(ctx, start.Add(length))
 	if b.o.Scale == 0 {
-		pauseFor(ctx, length)
+		sleepUnlessDone(ctx, length)
 	}
 	took := time.Since(start)
-	b.report.CPU = cpuShare(before, b.usages(), took)
+	b.report.CPU = cpuShare(before, b.processUsages(), took)
 	stopSide()
 	wait.Wait()
 	truth, err := b.procs.Truth(ctx)
 	if err != nil {
 		return err
 	}
-	b.fill(tally, truth0, truth, took)
+	b.fillReport(tally, truth0, truth, took)
 	return nil
 }
 
-func (b *bench) fill(t *traffic.Tally, t0, t1 standin.Truth, took time.Duration) {
+// fillReport fills in the report from the callers' counts and from the
+// stand-ins' counts before and after the traffic.
+func (b *benchRun) fillReport(t *traffic.Tally, t0, t1 standin.Truth, took time.Duration) {
 	r := b.report
 	r.Sent, r.Answered, r.Late, r.Failed, r.RefusedNotRun, r.Unknown = t.Sent, t.Answered, t.Late, t.Failed, t.RefusedNotRun, t.Unknown
 	r.Lost, r.WrongAnswer, r.Resumes, r.ByClass = t.Lost, t.WrongAnswer, t.Resumes, t.ByClass
@@ -235,35 +245,35 @@
 	r.TTFT, r.Service = quantiles(t.First), quantiles(t.Service)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d, v := quantiles(b.direct), quantiles(b.via)
+	d, v := quantiles(b.directLatency), quantiles(b.viaEntry)
 	r.Overhead = Quantiles{P50: v.P50 - d.P50, P95: v.P95 - d.P95, P99: v.P99 - d.P99, Max: v.Max - d.Max}
-	r.TableInForce = quantiles(b.table)
+	r.TableInForce = quantiles(b.timeToInForce)
 	r.Errors = append(t.Errors, b.errors...)
 	for i := range b.spec.Entries {
-		if u, ok := b.procs.usageOf(i); ok {
+		if u, ok := b.procs.processUsage(i); ok {
 			r.MemoryMB = max(r.MemoryMB, float64(u.memory)/(1<<20))
 		}
 	}
 }
 
-func (b *bench) fail(format string, args ...any) {
+func (b *benchRun) addError(format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.errors = append(b.errors, fmt.Sprintf(format, args...))
 }
 
-func (b *bench) usages() map[int]usage {
+func (b *benchRun) processUsages() map[int]usage {
 	out := make(map[int]usage)
 	for i := range b.spec.Entries {
-		if u, ok := b.procs.usageOf(i); ok {
+		if u, ok := b.procs.processUsage(i); ok {
 			out[i] = u
 		}
 	}
 	return out
 }
 
-// cpuShare returns the mean share of a core of the instances that ran all the
-// time.
+// cpuShare returns the mean CPU use, as a share of one core, of the instances
+// that ran during the whole interval.
 func cpuShare(before, after map[int]usage, took time.Duration) float64 {
 	sum, n := 0.0, 0
 	for i, u := range after {
@@ -275,7 +285,9 @@
 	return sum / float64(max(1, n))
 }
 
-func (b *bench) peerBytes(ctx context.Context) float64 {
+// peerBytes returns the sum of the bytes that the entry instances have sent to
+// and received from each other.
+func (b *benchRun) peerBytes(ctx context.Context) float64 {
 	sum := 0.0
 	for i := range b.spec.Entries {
 		if s, err := b.procs.Status(ctx, i); err == nil {
@@ -285,9 +297,9 @@
 	return sum
 }
 
-// probeOverhead times short model calls to the same engine model directly and
-// through an entry instance, in turn.
-func (b *bench) probeOverhead(ctx context.Context) {
+// probeOverhead alternates short calls to an engine directly and through an
+// entry instance, and records the time to the first token of each.
+func (b *benchRun) probeOverhead(ctx context.Context) {
 	set, err := b.spec.StandIns(b.o.Base, b.o.Seed)
 	if err != nil {
 		return
@@ -309,30 +321,32 @@
 		prompt := fmt.Sprintf("probe %d %d", b.o.Seed, n)
 		place := set.Engine[n%len(set.Engine)]
 		if took, ok := directCall(ctx, place.Addr, prompt, priority); ok {
-			b.record(b.direct, took)
+			b.record(b.directLatency, took)
 		}
 		start := time.Now()
 		o := b.client.Do(ctx, traffic.Call{Class: class, Key: key, Model: class, Prompt: prompt + " via", User: prompt, Max: 1, Deadline: start.Add(10 * time.Second)})
 		if o.Whole {
-			b.record(b.via, o.First.Sub(start))
+			b.record(b.viaEntry, o.First.Sub(start))
 		}
 		select {
-		case <-time.After(overheadGap):
+		case <-time.After(overheadProbeInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (b *bench) record(h *hdrhistogram.Histogram, took time.Duration) {
+func (b *benchRun) record(h *hdrhistogram.Histogram, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_ = h.RecordValue(max(1, took.Microseconds()))
 }
 
+// directCall requests one token from an engine and returns the time until it
+// arrived.
 func directCall(ctx context.Context, addr netip.AddrPort, prompt string, priority int) (time.Duration, bool) {
 	c := directClient()
 	start := time.Now()
-	s, err := c.Generate(ctx, addr, generate(prompt, priority), func(endpoint.Statement) {})
+	s, err := c.Generate(ctx, addr, generateRequest(prompt, priority), func(endpoint.Statement) {})
 	if err != nil {
 		return 0, false
 	}
--- a/internal/experiment/chaos_test.go
+++ b/internal/experiment/chaos_test.go
@@ -28,39 +28,39 @@
 )
 
 var (
-	seedsFlag = flag.Int("seeds", 3, "random runs to make")
-	firstSeed = flag.Uint64("first", 1, "seed of the first random run")
+	seedsFlag     = flag.Int("seeds", 3, "number of random runs")
+	firstSeedFlag = flag.Uint64("first", 1, "seed of the first random run")
 
 	verboseFlag = flag.Bool("story", false, "print the faults and the first errors of each run")
 )
 
 const (
-	chaosBase    = 20000
-	chaosTraffic = 20 * time.Second
-	chaosEntries = 6
-	chaosScale   = 0.3
+	chaosBasePort = 20000
+	chaosTraffic  = 20 * time.Second
+	chaosEntries  = 6
+	chaosScale    = 0.3
 )
 
-// chaos is one random run: a small deployment in virtual time, traffic, and
-// faults drawn from a seed.
+// chaos is a test run of a small embedded deployment in virtual time, with
+// traffic and injected faults. Random faults are drawn from a seed.
 type chaos struct {
-	t      *testing.T
-	spec   *deployment.Spec
-	mem    *netx.Mem
-	e      *Embedded
-	logs   *observer.ObservedLogs
-	client *traffic.Client
-	scale  float64 // of the traffic
-
-	mu       sync.Mutex
-	rnd      *rand.Rand                    // guarded by mu
-	down     map[int]bool                  // entry instances that are not running; guarded by mu
-	machines map[string]*clocktest.Machine // of the entry instances that run, by name; guarded by mu
-	faults   []string                      // guarded by mu
-	wait     sync.WaitGroup
+	t        *testing.T
+	spec     *deployment.Spec
+	mem      *netx.Mem
+	embedded *Embedded
+	logs     *observer.ObservedLogs
+	client   *traffic.Client
+	scale    float64 // factor applied to the request rates
+
+	mu         sync.Mutex
+	rnd        *rand.Rand                    // guarded by mu
+	stopped    map[int]bool                  // entry instances that are not running; guarded by mu
+	hostClocks map[string]*clocktest.Machine // of the entry instances that run, by name; guarded by mu
+	faults     []string                      // guarded by mu
+	wait       sync.WaitGroup
 }
 
-// chaosSpec is a small form of a deployment.
+// chaosSpec loads a deployment and reduces its number of instances and engines.
 func chaosSpec(t *testing.T, name string) *deployment.Spec {
 	t.Helper()
 	spec, err := deployment.Load(name)
@@ -72,14 +72,16 @@
 	return spec
 }
 
+// newChaos starts the named deployment on an in-memory network with the delays
+// of its description. Callers and the stand-ins are on the same network.
 func newChaos(t *testing.T, name string, seed uint64, sw relay.Switches, system ...table.Cell) *chaos {
 	spec := chaosSpec(t, name)
 	hall := make(map[string]string)
 	for i := range spec.Entries {
-		e := spec.Entry(chaosBase, i)
+		e := spec.Entry(chaosBasePort, i)
 		hall[e.Name] = e.Hall
 	}
-	set, err := spec.StandIns(chaosBase, seed)
+	set, err := spec.StandIns(chaosBasePort, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,37 +99,38 @@
 		}
 	})
 	core, logs := observer.New(zapcore.InfoLevel)
-	c := &chaos{t: t, rnd: rand.New(rand.NewPCG(seed, 77)), spec: spec, mem: mem, logs: logs, scale: chaosScale, down: make(map[int]bool), machines: make(map[string]*clocktest.Machine)}
-	c.e, err = StartEmbedded(EmbeddedOptions{Spec: spec, Base: chaosBase, Site: mem.Site, Log: zap.New(core), Seed: seed, Switches: sw, System: system, Clock: c.clock})
+	c := &chaos{t: t, rnd: rand.New(rand.NewPCG(seed, 77)), spec: spec, mem: mem, logs: logs, scale: chaosScale, stopped: make(map[int]bool), hostClocks: make(map[string]*clocktest.Machine)}
+	c.embedded, err = StartEmbedded(EmbeddedOptions{Spec: spec, Base: chaosBasePort, Site: mem.Site, Log: zap.New(core), Seed: seed, Switches: sw, DefaultRowCells: system, Clock: c.clock})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// clock returns the clock of an entry instance that starts, on a machine of its own.
+// clock returns the clock of a starting entry instance. Each instance has a
+// simulated host clock of its own, so that it can be suspended alone.
 func (c *chaos) clock(entry string) *clock.Clock {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.machines[entry] = clocktest.New()
-	return clock.New(c.machines[entry])
+	c.hostClocks[entry] = clocktest.New()
+	return clock.New(c.hostClocks[entry])
 }
 
-func (c *chaos) note(format string, args ...any) {
+func (c *chaos) recordFault(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-// run sends traffic while inject makes faults, and returns what callers saw.
+// run sends traffic while inject injects faults, and returns the callers' counts.
 func (c *chaos) run(seed uint64, inject func(ctx context.Context, start time.Time)) *traffic.Tally {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := netx.Transport(c.mem.Site("client"))
-	b := traffic.NewBalancer(transport, c.e.Callers(), seed)
+	b := traffic.NewBalancer(transport, c.embedded.Callers(), seed)
 	if err := WaitReady(ctx, b, c.spec.Entries); err != nil {
 		c.t.Fatal(err)
 	}
-	if err := c.e.WaitView(); err != nil {
+	if err := c.embedded.WaitView(); err != nil {
 		c.t.Fatal(err)
 	}
 	var side sync.WaitGroup
@@ -144,116 +147,121 @@
 	return tally
 }
 
-// every lists the entry instances that run.
+// running returns the indexes of the running entry instances.
 func (c *chaos) running() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []int
 	for i := range c.spec.Entries {
-		if !c.down[i] {
+		if !c.stopped[i] {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-func (c *chaos) setDown(i int, down bool) {
+func (c *chaos) setStopped(i int, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down[i] = down
+	c.stopped[i] = down
 }
 
-func sleepCtx(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
+// between returns a random duration from lo to hi.
 func (c *chaos) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(c.draw(int(hi-lo)))
 }
 
-// draw returns a random number below n.
+// draw returns a random number from 0 to n-1.
 func (c *chaos) draw(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rnd.IntN(n)
 }
 
-// killEntry ends an entry instance without notice and starts it again.
+// killEntry crashes an entry instance and restarts it after 2 to 6 seconds.
 func (c *chaos) killEntry(ctx context.Context, i int) {
-	c.note("%s kill entry %d", stamp(), i)
-	c.setDown(i, true)
-	c.e.KillEntry(i, c.mem.Kill)
+	c.recordFault("%s kill entry %d", timestamp(), i)
+	c.setStopped(i, true)
+	c.embedded.KillEntry(i, c.mem.Kill)
 	back := c.between(2*time.Second, 6*time.Second)
 	c.wait.Go(func() {
-		sleepCtx(ctx, back)
+		sleepContext(ctx, back)
 		c.startEntry(i)
 	})
 }
 
 func (c *chaos) startEntry(i int) {
-	if err := c.e.StartEntry(i); err != nil {
+	if err := c.embedded.StartEntry(i); err != nil {
 		c.t.Errorf("start entry %d: %v", i, err)
 	}
-	c.setDown(i, false)
+	c.setStopped(i, false)
 }
 
-// stopEntry makes a planned stop and starts the instance again.
+// stopEntry makes a planned stop of an entry instance and restarts it a second
+// later. Requests that it could not hand over fail the test.
 func (c *chaos) stopEntry(ctx context.Context, i int) {
-	c.note("%s planned stop of entry %d", stamp(), i)
-	c.setDown(i, true)
+	c.recordFault("%s planned stop of entry %d", timestamp(), i)
+	c.setStopped(i, true)
 	c.wait.Go(func() {
-		if left := c.e.StopEntry(i); left > 0 {
+		if left := c.embedded.StopEntry(i); left > 0 {
 			c.t.Errorf("a planned stop of entry %d left %d requests", i, left)
 		}
-		sleepCtx(ctx, time.Second)
+		sleepContext(ctx, time.Second)
 		c.startEntry(i)
 	})
 }
 
-// suspendEntry suspends the machine of an entry instance for a while.
+// suspendEntry suspends the host clock and the network of an entry instance for
+// the duration d.
 func (c *chaos) suspendEntry(i int, d time.Duration) {
-	c.note("%s suspend entry %d for %s", stamp(), i, d)
-	name := c.spec.Entry(chaosBase, i).Name
+	c.recordFault("%s suspend entry %d for %s", timestamp(), i, d)
+	name := c.spec.Entry(chaosBasePort, i).Name
 	c.mu.Lock()
-	machine := c.machines[name]
+	hostClock := c.hostClocks[name]
 	c.mu.Unlock()
-	machine.Suspend()
+	hostClock.Suspend()
 	c.mem.Freeze(name, true)
 	c.wait.Go(func() {
 		time.Sleep(d)
-		machine.Resume()
+		hostClock.Resume()
 		c.mem.Freeze(name, false)
 	})
 }
 
-// reclaimHall announces the reclaim of a hall with its entry instances.
+// reclaimHall announces the reclaim of a hall with its entry instances, which the
+// platform kills at the deadline.
 func (c *chaos) reclaimHall(hall string, notice time.Duration) {
-	c.note("%s reclaim of hall %s in %s", stamp(), hall, notice)
+	c.recordFault("%s reclaim of hall %s in %s", timestamp(), hall, notice)
 	deadline := time.Now().Add(notice)
-	c.e.World.ReclaimHall(hall, deadline, true)
+	c.embedded.World.ReclaimHall(hall, deadline, true)
 	for i := range c.spec.Entries {
-		if c.spec.Entry(chaosBase, i).Hall != hall {
+		if c.spec.Entry(chaosBasePort, i).Hall != hall {
 			continue
 		}
-		c.setDown(i, true)
+		c.setStopped(i, true)
 		c.wait.Go(func() {
-			time.Sleep(notice) // the platform takes the instance at the deadline
-			c.e.KillEntry(i, c.mem.Kill)
-			c.e.World.Gone(c.spec.Entry(chaosBase, i).Name)
+			time.Sleep(notice) // the platform kills the instance at the deadline
+			c.embedded.KillEntry(i, c.mem.Kill)
+			c.embedded.World.Gone(c.spec.Entry(chaosBasePort, i).Name)
 		})
 	}
 }
 
-// cutHalls parts the entry instances of two halls for a while.
+// cutHalls cuts the network between the entry instances of two halls for the
+// duration d.
 func (c *chaos) cutHalls(ctx context.Context, a, b string, d time.Duration) {
-	c.note("%s cut %s from %s for %s", stamp(), a, b, d)
+	c.recordFault("%s cut %s from %s for %s", timestamp(), a, b, d)
 	set := func(cut bool) {
 		for i := range c.spec.Entries {
 			for j := range c.spec.Entries {
-				x, y := c.spec.Entry(chaosBase, i), c.spec.Entry(chaosBase, j)
+				x, y := c.spec.Entry(chaosBasePort, i), c.spec.Entry(chaosBasePort, j)
 				if x.Hall == a && y.Hall == b {
 					c.mem.Cut(x.Name, y.Name, cut)
 				}
@@ -262,16 +270,17 @@
 	}
 	set(true)
 	c.wait.Go(func() {
-		sleepCtx(ctx, d)
+		sleepContext(ctx, d)
 		set(false)
 	})
 }
 
-func stamp() string { return time.Now().Format("05.000") }
+func timestamp() string { return time.Now().Format("05.000") }
 
-// store makes a fault of the key-value service and ends it after a while.
-func (c *chaos) store(ctx context.Context, d time.Duration) {
-	f := c.e.World.Faults()
+// injectStoreFault injects a random fault of the key-value store for the duration
+// d, sometimes with a frozen endpoint list.
+func (c *chaos) injectStoreFault(ctx context.Context, d time.Duration) {
+	f := c.embedded.World.Faults()
 	switch c.draw(4) {
 	case 0:
 		f.StoreDown = true
@@ -284,28 +293,29 @@
 	}
 	f.ListFrozen = c.draw(3) == 0
 	f.RefuseKVImport = 0.3
-	c.note("%s store %+v for %s", stamp(), f, d)
-	c.e.World.SetFaults(f)
+	c.recordFault("%s store %+v for %s", timestamp(), f, d)
+	c.embedded.World.SetFaults(f)
 	c.wait.Go(func() {
-		sleepCtx(ctx, d)
-		f := c.e.World.Faults()
+		sleepContext(ctx, d)
+		f := c.embedded.World.Faults()
 		f.StoreDown, f.StoreSlowMs, f.StoreLoseAnswer, f.StoreOld, f.ListFrozen, f.RefuseKVImport = false, 0, 0, false, false, 0
-		c.e.World.SetFaults(f)
+		c.embedded.World.SetFaults(f)
 	})
 }
 
-// killGap is the least time between two deaths without notice: the time to
-// notice one and to make new second copies. Two holders of a record that die
-// closer together are outside the promise.
+// killGap is the minimum time between two crashes: long enough to detect the
+// first and to make new second copies of its records. The system does not
+// guarantee that records survive whose two holders crash closer together.
 const killGap = 8 * time.Second
 
-// inject makes faults until the traffic ends: one that has no notice now and
-// then, others meanwhile, and at most one hall reclaimed.
-func (c *chaos) inject(ctx context.Context, start time.Time) {
+// injectFaults injects random faults until the traffic ends: crashes of entry
+// instances at least killGap apart, other faults in between, and at most one
+// reclaim of a hall.
+func (c *chaos) injectFaults(ctx context.Context, start time.Time) {
 	lastKill := start.Add(-killGap)
 	reclaimed := false
 	for ctx.Err() == nil && time.Since(start) < chaosTraffic {
-		sleepCtx(ctx, c.between(300*time.Millisecond, 3*time.Second))
+		sleepContext(ctx, c.between(300*time.Millisecond, 3*time.Second))
 		up := c.running()
 		pick := up[c.draw(len(up))]
 		halls := c.spec.Halls
@@ -328,48 +338,49 @@
 		case 4:
 			c.cutHalls(ctx, halls[a], halls[(a+1)%len(halls)], c.between(200*time.Millisecond, 2*time.Second))
 		case 5:
-			c.store(ctx, c.between(time.Second, 6*time.Second))
+			c.injectStoreFault(ctx, c.between(time.Second, 6*time.Second))
 		case 6:
 			id := fmt.Sprintf("%s-%02d", c.spec.Models[0].Name, c.draw(3)+3)
-			c.note("%s kill engine %s", stamp(), id)
-			c.e.World.Kill(id)
+			c.recordFault("%s kill engine %s", timestamp(), id)
+			c.embedded.World.Kill(id)
 		}
 	}
 }
 
-// check asserts the promises.
-func (c *chaos) check(seed uint64, tally *traffic.Tally) (broken []string) {
-	truth := c.e.World.Truth()
-	say := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
+// checkGuarantees returns the violated guarantees of the run and, if there are
+// any, the details needed to analyse and repeat it.
+func (c *chaos) checkGuarantees(seed uint64, tally *traffic.Tally) (violations []string) {
+	truth := c.embedded.World.Truth()
+	violated := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	if tally.Lost > 0 {
-		say("lost %d", tally.Lost)
+		violated("lost %d", tally.Lost)
 	}
 	if tally.WrongAnswer > 0 {
-		say("wrong answers %d", tally.WrongAnswer)
+		violated("wrong answers %d", tally.WrongAnswer)
 	}
 	if truth.Doubled > 0 {
-		say("doubled %d", truth.Doubled)
+		violated("doubled %d", truth.Doubled)
 	}
 	if truth.SentToLeavingAfter5 > 0 {
-		say("sent to leaving %d", truth.SentToLeavingAfter5)
+		violated("sent to leaving %d", truth.SentToLeavingAfter5)
 	}
 	for _, l := range c.logs.FilterMessage(eventMessage(event.InvariantBroken)).All() {
-		say("invariant: %v", l.ContextMap())
+		violated("invariant: %v", l.ContextMap())
 	}
 	if r := c.reverts(); r > 0 {
-		say("table reverts %d", r)
+		violated("table reverts %d", r)
 	}
-	if len(broken) > 0 {
-		broken = append(broken, c.story(tally)...)
-		broken = append(broken, tally.Errors...)
-		broken = append(broken, c.faults...)
-		broken = append(broken, fmt.Sprintf("repeat with: go test ./internal/experiment -run %s -seeds 1 -first %d", strings.Split(c.t.Name(), "/")[0], seed))
+	if len(violations) > 0 {
+		violations = append(violations, c.failedRequestLogs(tally)...)
+		violations = append(violations, tally.Errors...)
+		violations = append(violations, c.faults...)
+		violations = append(violations, fmt.Sprintf("repeat with: go test ./internal/experiment -run %s -seeds 1 -first %d", strings.Split(c.t.Name(), "/")[0], seed))
 	}
-	return broken
+	return violations
 }
 
-// story returns what the log says of the requests that failed.
-func (c *chaos) story(tally *traffic.Tally) []string {
+// failedRequestLogs returns the log lines of the requests that failed.
+func (c *chaos) failedRequestLogs(tally *traffic.Tally) []string {
 	errs := strings.Join(tally.Errors, "\n")
 	var out []string
 	for _, l := range c.logs.All() {
@@ -381,12 +392,14 @@
 	return out
 }
 
+// eventMessage returns the log message of an event.
 func eventMessage(code event.Code) string {
 	i := slices.IndexFunc(event.Catalogue, func(e event.Entry) bool { return e.Code == code })
 	return event.Catalogue[i].Message
 }
 
-// reverts counts the times at which an instance went to a lower revision.
+// reverts counts, from the logs, how often an instance put a table revision in
+// force that was not higher than its last one. A restart begins anew.
 func (c *chaos) reverts() int {
 	last := make(map[string]uint64)
 	n := 0
@@ -405,31 +418,33 @@
 	return n
 }
 
-// bubble runs f in virtual time. yamux keeps timers in a pool that outlives a
-// bubble and must not be used in the next; two collections empty it.
-func bubble(t *testing.T, f func(t *testing.T)) {
+// runVirtual runs f in virtual time. yamux keeps timers in a sync.Pool that
+// outlives one bubble of virtual time and must not be used in the next; two
+// garbage collections empty the pool.
+func runVirtual(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
 	virtual.Test(t, f)
 }
 
-func TestRandomFaults(t *testing.T) { randomRuns(t, (*chaos).inject) }
+func TestRandomFaults(t *testing.T) { runRandom(t, (*chaos).injectFaults) }
 
-// randomRuns makes runs in which something draws faults.
-func randomRuns(t *testing.T, inject func(c *chaos, ctx context.Context, start time.Time)) {
+// runRandom makes the number of runs given by -seeds, alternating between both
+// deployments, with the faults that inject draws from each seed.
+func runRandom(t *testing.T, inject func(c *chaos, ctx context.Context, start time.Time)) {
 	for k := range uint64(*seedsFlag) {
-		seed := *firstSeed + k
+		seed := *firstSeedFlag + k
 		name := []string{"voltra", "bazaarline"}[seed%2]
 		t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runVirtual(t, func(t *testing.T) {
 				c := newChaos(t, name, seed, relay.Switches{})
 				tally := c.run(seed, func(ctx context.Context, start time.Time) { inject(c, ctx, start) })
-				broken := c.check(seed, tally)
-				c.e.Stop()
+				violations := c.checkGuarantees(seed, tally)
+				c.embedded.Stop()
 				t.Logf("sent %d answered %d late %d failed %d (refused %d, unknown %d) resumes %d, %d faults",
 					tally.Sent, tally.Answered, tally.Late, tally.Failed, tally.RefusedNotRun, tally.Unknown, tally.Resumes, len(c.faults))
-				for _, b := range broken {
+				for _, b := range violations {
 					t.Error(b)
 				}
 				if *verboseFlag {
@@ -445,24 +460,24 @@
 	}
 }
 
-// injectSuspensions suspends one entry instance after the other, beside engines that are killed
-// and a store in trouble.
+// injectSuspensions suspends entry instances one at a time, some of them together
+// with a store fault or the kill of an engine.
 func (c *chaos) injectSuspensions(ctx context.Context, start time.Time) {
 	for ctx.Err() == nil && time.Since(start) < chaosTraffic {
-		sleepCtx(ctx, c.between(300*time.Millisecond, 2*time.Second))
+		sleepContext(ctx, c.between(300*time.Millisecond, 2*time.Second))
 		up := c.running()
-		asleep := c.between(500*time.Millisecond, 6*time.Second)
-		c.suspendEntry(up[c.draw(len(up))], asleep)
+		suspended := c.between(500*time.Millisecond, 6*time.Second)
+		c.suspendEntry(up[c.draw(len(up))], suspended)
 		switch c.draw(3) {
 		case 0:
-			c.store(ctx, c.between(time.Second, 6*time.Second))
+			c.injectStoreFault(ctx, c.between(time.Second, 6*time.Second))
 		case 1:
 			id := fmt.Sprintf("%s-%02d", c.spec.Models[0].Name, c.draw(3)+3)
-			c.note("%s kill engine %s", stamp(), id)
-			c.e.World.Kill(id)
+			c.recordFault("%s kill engine %s", timestamp(), id)
+			c.embedded.World.Kill(id)
 		}
-		sleepCtx(ctx, asleep+killGap) // the records of one that stands still have new copies by then
+		sleepContext(ctx, suspended+killGap) // by then there are new second copies of the suspended instance's records
 	}
 }
 
-func TestRandomSuspensions(t *testing.T) { randomRuns(t, (*chaos).injectSuspensions) }
+func TestRandomSuspensions(t *testing.T) { runRandom(t, (*chaos).injectSuspensions) }
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -20,28 +20,29 @@
 
 func TestWorth(t *testing.T) {
 	is := is.New(t)
-	worth, err := Worth([]byte(benchTable), "trouble-1")
+	worth, err := ParseWorth([]byte(benchTable), "trouble-1")
 	is.NoErr(err)
 	is.Equal(worth, 0.474)
-	_, err = Worth([]byte(benchTable), "trouble-2")
-	is.True(errors.Is(err, ErrNoLine))
-	_, err = Worth([]byte("trouble-1 7/22 1.0 none"), "trouble-1")
+	_, err = ParseWorth([]byte(benchTable), "trouble-2")
+	is.True(errors.Is(err, ErrNoResult))
+	_, err = ParseWorth([]byte("trouble-1 7/22 1.0 none"), "trouble-1")
 	is.True(err != nil)
 }
 
 func TestSummarize(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Summarize(nil), Summary{})
-	s := Summarize([]PlayResult{{Before: 0.5, After: 0.52}, {Before: 0.4, After: 0.44}})
-	is.Equal(s.Plays, 2)
+	s := Summarize([]CaseResult{{Before: 0.5, After: 0.52}, {Before: 0.4, After: 0.44}})
+	is.Equal(s.Cases, 2)
 	is.True(math.Abs(s.Before-0.45) < 1e-9)
 	is.True(math.Abs(s.After-0.48) < 1e-9)
 	is.True(math.Abs(s.Spread-0.01414) < 1e-4)
 	is.True(math.Abs(s.Error-0.01) < 1e-4)
-	is.Equal(Summarize([]PlayResult{{Before: 0.5, After: 0.6}}).Spread, 0.0) // one play has no spread
+	is.Equal(Summarize([]CaseResult{{Before: 0.5, After: 0.6}}).Spread, 0.0) // a single case has no spread
 }
 
-// A bench that earns what a file in the version's folder says.
+// The bench program is a script that reports the worth written in a file in the
+// version's directory, and fails without that file.
 func TestComparePlaysBothVersions(t *testing.T) {
 	is := is.New(t)
 	bench := filepath.Join(t.TempDir(), "bench")
@@ -56,15 +57,15 @@
 	}
 	o := CompareOptions{Bench: bench, Before: folder("0.5"), After: folder("0.6"), Parallel: 2}
 	for seed := range int64(5) {
-		o.Plays = append(o.Plays, Play{"a/site.toml", "quiet-1", seed})
+		o.Cases = append(o.Cases, Case{"a/site.toml", "quiet-1", seed})
 	}
-	var got []PlayResult
-	is.NoErr(Compare(context.Background(), o, func(r PlayResult) { got = append(got, r) }))
+	var got []CaseResult
+	is.NoErr(Compare(context.Background(), o, func(r CaseResult) { got = append(got, r) }))
 	is.Equal(len(got), 5)
 	is.Equal(fmt.Sprintf("%.1f %.1f", got[0].Before, got[0].After), "0.5 0.6")
-	is.Equal(got[0].Play.String()[:13], "site quiet-1 ")
+	is.Equal(got[0].Case.String()[:13], "site quiet-1 ")
 
-	o.After = folder("") // its run prints nothing
-	err := Compare(context.Background(), o, func(PlayResult) { t.Error("a result without a figure") })
-	is.True(errors.Is(err, ErrNoLine))
+	o.After = folder("") // its runs print nothing
+	err := Compare(context.Background(), o, func(CaseResult) { t.Error("got a result from a run that printed none") })
+	is.True(errors.Is(err, ErrNoResult))
 }
--- a/internal/experiment/deadly_test.go
+++ b/internal/experiment/deadly_test.go
@@ -11,43 +11,44 @@
 	"github.com/shelfcrank/shelfcrank/internal/traffic"
 )
 
-// deadlyPrompt ends engines; deadlyEnds of them may end under it, and as many runs may be under
-// way when the last of these is seen.
+// deadlyPrompt crashes each engine that runs it. At least deadlyEnds engines must
+// crash for the test to be meaningful; after that many crashes at most deadlyAfter
+// more runs, which were already under way, are allowed.
 const (
 	deadlyPrompt = "a prompt that no engine bears"
 	deadlyEnds   = 3
 	deadlyAfter  = 3
 )
 
-// Engines of the own interface ended under one prompt, again and again, until its deadline; its
-// caller came back with it, at any instance.
-//
-// Cause: a model request went on at another endpoint whenever one broke, without a bound but its
-// deadline, and nothing knew of it when it came again. Evidence: each line "request resumed" or
-// failure of the requests names an engine that had just ended.
+// Guards against a prompt that crashes one engine after another. A model request
+// was resumed at another endpoint whenever one crashed, with no limit but its
+// deadline, and no instance recognised the prompt when the caller sent it again.
+// In such a run each log line "request resumed" and each failed request names an
+// engine that has just crashed. This covers engines that speak the system's own
+// protocol.
 func TestADeadlyModelRequestIsStopped(t *testing.T) {
-	tally, truth, broken := directed(t, "bazaarline", relay.Switches{}, func(c *chaos, ctx context.Context) {
-		sleepCtx(ctx, 2*time.Second)
-		f := c.e.World.Faults()
+	tally, truth, violations := runDirected(t, "bazaarline", relay.Switches{}, func(c *chaos, ctx context.Context) {
+		sleepContext(ctx, 2*time.Second)
+		f := c.embedded.World.Faults()
 		f.DeadlyPrompt = deadlyPrompt
-		c.e.World.SetFaults(f)
+		c.embedded.World.SetFaults(f)
 		var all sync.WaitGroup
 		for n := range 12 {
 			all.Go(func() {
 				c.client.Do(ctx, traffic.Call{Key: c.spec.Accounts[1].Key, Model: "sale-question", Prompt: deadlyPrompt, Max: 100, User: fmt.Sprint("u", n), Deadline: time.Now().Add(8 * time.Second)})
 			})
-			sleepCtx(ctx, time.Second)
+			sleepContext(ctx, time.Second)
 		}
 		all.Wait()
 	})
-	t.Logf("%d engines ended, sent %d times, %d after the third; %d of %d others answered", truth.EndedUnder, truth.DeadlySent, truth.DeadlySentAfter, tally.Answered, tally.Sent)
+	t.Logf("%d engines crashed, prompt sent %d times, %d after the third crash; %d of %d other requests answered", truth.EndedUnder, truth.DeadlySent, truth.DeadlySentAfter, tally.Answered, tally.Sent)
 	if truth.EndedUnder < deadlyEnds {
-		t.Error("the prompt was not deadly")
+		t.Error("the prompt did not crash enough engines")
 	}
 	if truth.DeadlySentAfter > deadlyAfter {
-		t.Errorf("it was sent %d times after the third engine had ended", truth.DeadlySentAfter)
+		t.Errorf("the prompt was sent %d times after the third engine had crashed", truth.DeadlySentAfter)
 	}
-	for _, b := range broken {
+	for _, b := range violations {
 		t.Error(b)
 	}
 }
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -13,7 +13,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/traffic"
 )
 
-// DemoReport is what the demo saw.
+// DemoReport holds the counts of a demo run, taken by the callers and the
+// stand-ins.
 type DemoReport struct {
 	Deployment    string   `json:"deployment"`
 	Entries       int      `json:"entries"`
@@ -27,23 +28,25 @@
 	SentToLeaving int      `json:"sent_to_leaving_after_5s"`
 	KVMoves       int      `json:"kv_moves"`
 	Resumes       int      `json:"resumes"`
-	Hall          string   `json:"reclaimed_hall"`
+	ReclaimedHall string   `json:"reclaimed_hall"`
 	Errors        []string `json:"errors,omitempty"`
 }
 
-// OK reports whether nothing was lost, doubled or wrong.
+// OK reports whether requests were sent and none was lost, executed twice or
+// answered wrongly.
 func (r DemoReport) OK() bool {
 	return r.Lost == 0 && r.Doubled == 0 && r.WrongAnswer == 0 && r.Sent > 0
 }
 
 const (
-	demoTraffic = 6 * time.Second
-	demoNotice  = 1500 * time.Millisecond
-	demoEntries = 4
-	demoScale   = 0.4
+	demoDuration      = 6 * time.Second
+	demoReclaimNotice = 1500 * time.Millisecond
+	demoEntries       = 4
+	demoScale         = 0.4
 )
 
-// Demo runs a deployment in this process, reclaims a hall midway, and reports.
+// Demo runs a deployment in this process with scaled-down traffic, reclaims a
+// hall a third of the way through, and returns the counts.
 func Demo(ctx context.Context, name string, base int, log *zap.Logger) (DemoReport, error) {
 	spec, err := deployment.Load(name)
 	if err != nil {
@@ -69,26 +72,26 @@
 	go b.Run(ctx)
 	hall := spec.Halls[0]
 	start := time.Now()
-	time.AfterFunc(demoTraffic/3, func() { e.World.ReclaimHall(hall, time.Now().Add(demoNotice), true) })
+	time.AfterFunc(demoDuration/3, func() { e.World.ReclaimHall(hall, time.Now().Add(demoReclaimNotice), true) })
 	load := traffic.NewLoad(spec, traffic.NewClient(transport, b), 1, func(string) float64 { return demoScale })
-	t := load.Run(ctx, start.Add(demoTraffic))
+	t := load.Run(ctx, start.Add(demoDuration))
 	return demoReport(spec, hall, t, e.World.Truth()), nil
 }
 
 func demoReport(spec *deployment.Spec, hall string, t *traffic.Tally, truth standin.Truth) DemoReport {
 	return DemoReport{
-		Deployment: spec.Name, Entries: spec.Entries, Hall: hall,
+		Deployment: spec.Name, Entries: spec.Entries, ReclaimedHall: hall,
 		Sent: t.Sent, Answered: t.Answered, Late: t.Late, Failed: t.Failed, Lost: t.Lost,
 		WrongAnswer: t.WrongAnswer, Resumes: t.Resumes, Errors: t.Errors,
 		Doubled: truth.Doubled, SentToLeaving: truth.SentToLeavingAfter5, KVMoves: truth.KVMoves,
 	}
 }
 
-// Text returns the report for people.
+// Text returns the report as human-readable text.
 func (r DemoReport) Text() string {
 	return fmt.Sprintf(`%s: %d entry instances; hall %s reclaimed midway, its entry instances too
   sent %d: answered %d, late %d, failed %d
   lost %d, doubled %d, wrong answers %d
   resumed by callers %d times, KV caches moved %d
-`, r.Deployment, r.Entries, r.Hall, r.Sent, r.Answered, r.Late, r.Failed, r.Lost, r.Doubled, r.WrongAnswer, r.Resumes, r.KVMoves)
+`, r.Deployment, r.Entries, r.ReclaimedHall, r.Sent, r.Answered, r.Late, r.Failed, r.Lost, r.Doubled, r.WrongAnswer, r.Resumes, r.KVMoves)
 }
--- a/internal/experiment/embedded.go
+++ b/internal/experiment/embedded.go
@@ -1,7 +1,7 @@
-// Package experiment runs deployments on stand-ins and measures them: the
-// demo, embedded in one process, and the bench, in separate ones.
-//
-// A Run belongs to one goroutine; what it starts runs on its own.
+// Package experiment runs deployments against stand-ins for the platform and the
+// endpoints, and measures them: the demo in one process, the bench in separate
+// processes. It also compares two versions of the product with an external bench
+// program.
 package experiment
 
 import (
@@ -24,7 +24,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/traffic"
 )
 
-// Embedded is a deployment whose parts all run in this process.
+// Embedded is a deployment whose entry instances and stand-ins all run in this
+// process.
 type Embedded struct {
 	Spec  *deployment.Spec
 	World *standin.World
@@ -39,33 +40,35 @@
 
 	mu      sync.Mutex
 	entries map[int]*embeddedEntry // guarded by mu
-	wait    sync.WaitGroup         // for killed instances
+	killed  sync.WaitGroup         // waits for killed instances to end
 }
 
+// embeddedEntry is a running entry instance. notHandedOver is set before done is
+// closed.
 type embeddedEntry struct {
-	instance *entry.Instance
-	stop     context.CancelFunc
-	done     chan struct{}
-	left     int
+	instance      *entry.Instance
+	stop          context.CancelFunc
+	done          chan struct{}
+	notHandedOver int
 }
 
-// EmbeddedOptions are what an embedded deployment is made of.
+// EmbeddedOptions configures an embedded deployment.
 type EmbeddedOptions struct {
-	Spec     *deployment.Spec
-	Base     int                       // first port
-	Site     func(string) netx.Network // the network as seen from an instance
-	Log      *zap.Logger
-	Seed     uint64
-	Switches relay.Switches
-	System   []table.Cell // cells of the first table's default row
+	Spec            *deployment.Spec
+	Base            int                       // first port
+	Site            func(string) netx.Network // returns the network of the instance or stand-in with this name
+	Log             *zap.Logger
+	Seed            uint64
+	Switches        relay.Switches
+	DefaultRowCells []table.Cell // cells to set in the default row of the initial table
 
 	PeerTLS func(entry string) *tls.Config  // between entry instances; nil for plain text
-	Clock   func(entry string) *clock.Clock // of each entry instance; nil for the steady time
+	Clock   func(entry string) *clock.Clock // of each entry instance; nil for the monotonic time
 }
 
 // StartEmbedded starts the stand-ins and all entry instances.
 func StartEmbedded(o EmbeddedOptions) (*Embedded, error) {
-	set, err := o.Spec.StandIns(o.Base, o.Seed, o.System...)
+	set, err := o.Spec.StandIns(o.Base, o.Seed, o.DefaultRowCells...)
 	if err != nil {
 		return nil, err
 	}
@@ -105,14 +108,14 @@
 		defer close(ee.done)
 		left, err := inst.Run(ctx)
 		if err != nil {
-			e.log.Error("entry instance", zap.Error(err))
+			e.log.Error("entry instance failed", zap.Error(err))
 		}
-		ee.left = left
+		ee.notHandedOver = left
 	}()
 	return nil
 }
 
-// Entry returns the i-th entry instance, or nil.
+// Entry returns the i-th entry instance, or nil if it does not run.
 func (e *Embedded) Entry(i int) *entry.Instance {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -122,8 +125,8 @@
 	return nil
 }
 
-// StopEntry stops the i-th entry instance as a planned stop does, and returns
-// how many requests it could not hand over.
+// StopEntry makes a planned stop of the i-th entry instance and returns the
+// number of requests that it could not hand over.
 func (e *Embedded) StopEntry(i int) int {
 	e.mu.Lock()
 	ee := e.entries[i]
@@ -134,11 +137,12 @@
 	}
 	ee.stop()
 	<-ee.done
-	return ee.left
+	return ee.notHandedOver
 }
 
-// KillEntry ends the i-th entry instance without notice: cut takes its network
-// away first. What is left of the process is stopped in the background.
+// KillEntry simulates a crash of the i-th entry instance: it calls cut, which has
+// to disconnect the instance from the network, then stops the instance in the
+// background.
 func (e *Embedded) KillEntry(i int, cut func(site string)) {
 	e.mu.Lock()
 	ee := e.entries[i]
@@ -149,21 +153,22 @@
 	}
 	cut(e.Spec.Entry(e.base, i).Name)
 	ee.stop()
-	e.wait.Go(func() { <-ee.done })
+	e.killed.Go(func() { <-ee.done })
 }
 
-// Stop ends everything.
+// Stop stops all entry instances and the stand-ins, and waits for killed
+// instances to end.
 func (e *Embedded) Stop() {
 	var wait sync.WaitGroup
 	for i := range e.Spec.Entries {
 		wait.Go(func() { e.StopEntry(i) })
 	}
 	wait.Wait()
-	e.wait.Wait()
+	e.killed.Wait()
 	e.World.Stop()
 }
 
-// Callers returns the addresses that callers reach the entry instances at.
+// Callers returns the addresses at which the entry instances accept callers.
 func (e *Embedded) Callers() []netip.AddrPort {
 	var out []netip.AddrPort
 	for i := range e.Spec.Entries {
@@ -172,34 +177,35 @@
 	return out
 }
 
-const readyWait = 15 * time.Second
+const readyTimeout = 15 * time.Second
 
-// WaitReady waits until the balancer sees n ready instances and their view has
-// all of them.
+// WaitReady waits until the balancer finds n ready instances, or fails after
+// readyTimeout.
 func WaitReady(ctx context.Context, b *traffic.Balancer, n int) error {
-	limit := time.Now().Add(readyWait)
+	limit := time.Now().Add(readyTimeout)
 	for time.Now().Before(limit) {
 		if b.Probe(ctx) >= n {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return fmt.Errorf("fewer than %d entry instances ready after %s", n, readyWait)
+	return fmt.Errorf("fewer than %d entry instances ready after %s", n, readyTimeout)
 }
 
-// WaitView waits until every entry instance has a view of all of them.
+// WaitView waits until the view of every running entry instance has all of them
+// as members and the instance's keeper is ready, or fails after readyTimeout.
 func (e *Embedded) WaitView() error {
-	limit := time.Now().Add(readyWait)
+	limit := time.Now().Add(readyTimeout)
 	for time.Now().Before(limit) {
-		if e.viewWhole() {
+		if e.viewsComplete() {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return fmt.Errorf("no view of all entry instances after %s", readyWait)
+	return fmt.Errorf("entry instances without a complete view after %s", readyTimeout)
 }
 
-func (e *Embedded) viewWhole() bool {
+func (e *Embedded) viewsComplete() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, ee := range e.entries {
--- a/internal/experiment/input_test.go
+++ b/internal/experiment/input_test.go
@@ -17,7 +17,8 @@
 	"github.com/shelfcrank/shelfcrank/internal/traffic"
 )
 
-// Bad input gets a clear error that says not_run, and no endpoint sees it.
+// Invalid requests must get the right error status with the outcome not_run, and
+// must not reach an endpoint.
 func TestBadInputIsRefusedAsNotRun(t *testing.T) {
 	const completions, pay = "/v1/completions", "/v1/services/till/payment"
 	const goodKey = "bazaar-anarkali-key"
@@ -36,13 +37,13 @@
 		{"no deadline at all", pay, goodKey, `x`, http.Header{"Request-Deadline": {"soon"}}, 400},
 		{"huge body", pay, goodKey, strings.Repeat("x", 2<<20), nil, 413},
 	}
-	bubble(t, func(t *testing.T) {
+	runVirtual(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newChaos(t, "bazaarline", 3, relay.Switches{})
 		transport := netx.Transport(c.mem.Site("client"))
 		h := &http.Client{Transport: transport, Timeout: time.Minute}
-		is.NoErr(WaitReady(context.Background(), traffic.NewBalancer(transport, c.e.Callers(), 1), c.spec.Entries))
-		base := "http://" + c.e.Callers()[0].String()
+		is.NoErr(WaitReady(context.Background(), traffic.NewBalancer(transport, c.embedded.Callers(), 1), c.spec.Entries))
+		base := "http://" + c.embedded.Callers()[0].String()
 		for _, tt := range cases {
 			req, err := http.NewRequest(http.MethodPost, base+tt.path, strings.NewReader(tt.body))
 			is.NoErr(err)
@@ -68,15 +69,16 @@
 			}
 		}
 		slowCaller(t, c, h, base+pay, goodKey)
-		if truth := c.e.World.Truth(); truth.ServiceRuns+truth.TokensPrompt > 0 {
+		if truth := c.embedded.World.Truth(); truth.ServiceRuns+truth.TokensPrompt > 0 {
 			t.Errorf("an endpoint ran %d calls and %d prompt tokens", truth.ServiceRuns, truth.TokensPrompt)
 		}
 		transport.CloseIdleConnections()
-		c.e.Stop()
+		c.embedded.Stop()
 	})
 }
 
-// slowCaller sends its body byte by byte and is cut off.
+// slowCaller sends a request body at one byte per second and checks that the
+// instance ends the request within 30 s.
 func slowCaller(t *testing.T, c *chaos, h *http.Client, url, key string) {
 	t.Helper()
 	r, w := io.Pipe()
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,10 +15,10 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// measure is one panel of a report.
+// measure is a value of a report that gets a panel of the plot.
 type measure struct {
 	title string
-	of    func(*Report) float64
+	value func(*Report) float64
 }
 
 var measures = []measure{
@@ -33,10 +33,10 @@
 	panelHeight = 3 * vg.Inch
 	barWidth    = 0.35 * vg.Inch
 	labelAngle  = 0.35 // radians
-	edge        = 0.7  // room beside the first and the last bar, in bars
+	barMargin   = 0.7  // space beside the first and the last bar, in bar distances
 )
 
-// ReadReports reads files with one JSON report each.
+// ReadReports reads files that hold one JSON report each.
 func ReadReports(files []string) ([]*Report, error) {
 	var out []*Report
 	for _, f := range files {
@@ -53,7 +53,8 @@
 	return out, nil
 }
 
-// Plot draws reports side by side into a PNG file, one panel a measure.
+// Plot writes a PNG file with one bar chart per measure, in which each report
+// has a bar.
 func Plot(file string, reports []*Report) error {
 	var labels []string
 	for _, r := range reports {
@@ -63,7 +64,7 @@
 	canvas := draw.New(img)
 	tiles := draw.Tiles{Rows: len(measures), Cols: 1, PadX: vg.Millimeter, PadY: 4 * vg.Millimeter}
 	for i, m := range measures {
-		p, err := panel(m, reports, labels)
+		p, err := newPanel(m, reports, labels)
 		if err != nil {
 			return err
 		}
@@ -80,12 +81,12 @@
 	return nil
 }
 
-func panel(m measure, reports []*Report, labels []string) (*plot.Plot, error) {
+func newPanel(m measure, reports []*Report, labels []string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = m.title
 	values := make(plotter.Values, len(reports))
 	for i, r := range reports {
-		values[i] = m.of(r)
+		values[i] = m.value(r)
 	}
 	bars, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
@@ -96,7 +97,7 @@
 	p.NominalX(labels...)
 	p.X.Tick.Label.Rotation = labelAngle
 	p.X.Tick.Label.XAlign = draw.XRight
-	p.X.Min, p.X.Max = -edge, float64(len(reports)-1)+edge
+	p.X.Min, p.X.Max = -barMargin, float64(len(reports)-1)+barMargin
 	p.Y.Min = 0
 	return p, nil
 }
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -24,22 +24,24 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// Processes is a deployment whose entry instances and stand-ins run as
-// processes of their own on loopback.
+// Processes is a deployment whose entry instances and stand-ins run as separate
+// processes on loopback: one for all stand-ins and one for each entry instance.
 type Processes struct {
-	spec *deployment.Spec
-	base int
-	dir  string
-	list netip.AddrPort
-	http *http.Client
+	spec         *deployment.Spec
+	base         int
+	dir          string
+	platformAddr netip.AddrPort
+	http         *http.Client
 
 	mu      sync.Mutex
 	standin *exec.Cmd
 	entries map[int]*exec.Cmd // guarded by mu
 }
 
-// StartProcesses starts the stand-ins and all entry instances. Their logs are
-// written below dir.
+// StartProcesses starts the stand-ins and all entry instances. Their settings
+// and logs are written to dir. If onDemand is set, the engines run on on-demand
+// instances instead of reclaimable ones. The cells in system are added to the
+// default row of the initial table.
 func StartProcesses(spec *deployment.Spec, base int, seed uint64, dir string, onDemand bool, system ...table.Cell) (*Processes, error) {
 	set, err := spec.StandIns(base, seed, system...)
 	if err != nil {
@@ -48,7 +50,7 @@
 	for i := range set.Engine {
 		set.Engine[i].OnDemand = onDemand
 	}
-	p := &Processes{spec: spec, base: base, dir: dir, list: set.List, http: &http.Client{Timeout: 5 * time.Second}, entries: make(map[int]*exec.Cmd)}
+	p := &Processes{spec: spec, base: base, dir: dir, platformAddr: set.List, http: &http.Client{Timeout: 5 * time.Second}, entries: make(map[int]*exec.Cmd)}
 	file := filepath.Join(dir, "standin.toml")
 	if err := writeTOML(file, set); err != nil {
 		return nil, err
@@ -73,7 +75,8 @@
 	return os.WriteFile(file, b, 0o600)
 }
 
-// start starts this program with arguments as a process of its own.
+// start runs this executable with args as a new process. Its standard error goes
+// to the file log.log in the directory of the deployment.
 func (p *Processes) start(log string, args ...string) (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -109,7 +112,9 @@
 	return nil
 }
 
-func (p *Processes) take(i int) *exec.Cmd {
+// removeEntry removes the i-th entry instance from the running ones and returns
+// its process, or nil.
+func (p *Processes) removeEntry(i int) *exec.Cmd {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cmd := p.entries[i]
@@ -126,18 +131,19 @@
 	}
 }
 
-// KillEntry ends the i-th entry instance without notice.
+// KillEntry kills the process of the i-th entry instance and waits for its end.
 func (p *Processes) KillEntry(i int) {
-	if cmd := p.take(i); cmd != nil {
+	if cmd := p.removeEntry(i); cmd != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}
 }
 
 // StopEntry makes a planned stop of the i-th entry instance and waits for its
-// end. It fails when the instance says that it left something behind.
+// end. It fails if the process exits with an error, as it does when it could not
+// hand over all requests.
 func (p *Processes) StopEntry(i int) error {
-	cmd := p.take(i)
+	cmd := p.removeEntry(i)
 	if cmd == nil {
 		return nil
 	}
@@ -145,7 +151,7 @@
 	return cmd.Wait()
 }
 
-// Stop ends all processes.
+// Stop kills all processes and waits for their end.
 func (p *Processes) Stop() {
 	for i := range p.spec.Entries {
 		p.KillEntry(i)
@@ -154,7 +160,7 @@
 	_ = p.standin.Wait()
 }
 
-// Callers returns the addresses that callers reach the entry instances at.
+// Callers returns the addresses at which the entry instances accept callers.
 func (p *Processes) Callers() []netip.AddrPort {
 	var out []netip.AddrPort
 	for i := range p.spec.Entries {
@@ -163,8 +169,10 @@
 	return out
 }
 
-func (p *Processes) platform(ctx context.Context, method, path string, in io.Reader, out any) error {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.list.String()+path, in)
+// callPlatform sends a request to the control API of the platform stand-in and
+// decodes the JSON response into out unless out is nil.
+func (p *Processes) callPlatform(ctx context.Context, method, path string, in io.Reader, out any) error {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.platformAddr.String()+path, in)
 	if err != nil {
 		return err
 	}
@@ -182,22 +190,24 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// Truth reads the stand-ins' counts.
+// Truth returns the counts of the stand-ins.
 func (p *Processes) Truth(ctx context.Context) (standin.Truth, error) {
 	var t standin.Truth
-	return t, p.platform(ctx, http.MethodGet, "/truth", nil, &t)
+	return t, p.callPlatform(ctx, http.MethodGet, "/truth", nil, &t)
 }
 
-// SetFaults switches the stand-ins' faults.
+// SetFaults replaces the faults that the stand-ins simulate.
 func (p *Processes) SetFaults(ctx context.Context, f standin.Faults) error {
 	b, err := json.Marshal(f)
 	if err != nil {
 		return err
 	}
-	return p.platform(ctx, http.MethodPut, "/faults", strings.NewReader(string(b)), nil)
+	return p.callPlatform(ctx, http.MethodPut, "/faults", strings.NewReader(string(b)), nil)
 }
 
-// Reclaim announces the reclaim of a hall or, with an id, of one instance.
+// Reclaim makes the platform stand-in announce the reclaim of a hall or, if hall
+// is empty, of the instance with the given ID. entries says whether the entry
+// instances of the hall are reclaimed too.
 func (p *Processes) Reclaim(ctx context.Context, hall, id string, notice time.Duration, entries bool) error {
 	path := "/reclaim?notice_ms=" + strconv.Itoa(int(notice.Milliseconds())) + "&entries=" + strconv.FormatBool(entries)
 	if hall != "" {
@@ -205,10 +215,10 @@
 	} else {
 		path += "&id=" + id
 	}
-	return p.platform(ctx, http.MethodPost, path, nil, nil)
+	return p.callPlatform(ctx, http.MethodPost, path, nil, nil)
 }
 
-// Status asks an entry instance for its status.
+// Status returns the status that the i-th entry instance reports.
 func (p *Processes) Status(ctx context.Context, i int) (gateway.Status, error) {
 	var s gateway.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.spec.Entry(p.base, i).Caller.String()+"/operator/status", nil)
@@ -227,16 +237,17 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// usage is what the operating system says of a process.
+// usage holds the resource use of a process as reported by the operating system.
 type usage struct {
-	cpu    time.Duration // processor time used so far
-	memory int64         // resident bytes
+	cpu    time.Duration // CPU time used so far
+	memory int64         // resident memory in bytes
 }
 
 const clockTick = 10 * time.Millisecond // Linux's USER_HZ
 
-// usageOf reads the usage of the i-th entry instance.
-func (p *Processes) usageOf(i int) (usage, bool) {
+// processUsage reads the usage of the i-th entry instance from /proc. It reports
+// false if the instance does not run or the file cannot be read.
+func (p *Processes) processUsage(i int) (usage, bool) {
 	p.mu.Lock()
 	cmd := p.entries[i]
 	p.mu.Unlock()
--- a/internal/experiment/ratelimit_test.go
+++ b/internal/experiment/ratelimit_test.go
@@ -11,25 +11,28 @@
 	"github.com/shelfcrank/shelfcrank/internal/relay"
 )
 
+// Endpoints that speak the system's own protocol announce a rate limit in their
+// responses. This test guards against instances that together send an endpoint
+// more than that.
 func TestEndpointsOfTheOwnInterfaceGetNoMoreThanTheRateLimitThatTheyName(t *testing.T) {
 	is := is.New(t)
 	var violations []check.Violation
-	tally, _, broken := directed(t, "voltra", relay.Switches{}, func(c *chaos, ctx context.Context) {
-		set, err := c.spec.StandIns(chaosBase, 1)
+	tally, _, guaranteeViolations := runDirected(t, "voltra", relay.Switches{}, func(c *chaos, ctx context.Context) {
+		set, err := c.spec.StandIns(chaosBasePort, 1)
 		is.NoErr(err)
-		sleepCtx(ctx, 2*time.Second)
+		sleepContext(ctx, 2*time.Second)
 		limited := []string{set.Engine[0].ID, set.Engine[1].ID, set.Service[0].ID}
 		for i, id := range limited {
-			c.e.World.NameRateLimit(id, 0.5+0.5*float64(i))
+			c.embedded.World.NameRateLimit(id, 0.5+0.5*float64(i))
 		}
-		sleepCtx(ctx, 14*time.Second)
-		violations = c.e.World.RateLimitViolations()
+		sleepContext(ctx, 14*time.Second)
+		violations = c.embedded.World.RateLimitViolations()
 		for _, id := range limited {
-			c.e.World.LiftRateLimit(id)
+			c.embedded.World.LiftRateLimit(id)
 		}
-		sleepCtx(ctx, 4*time.Second)
+		sleepContext(ctx, 4*time.Second)
 	})
 	t.Logf("%d of %d answered", tally.Answered, tally.Sent)
 	is.Equal(violations, nil)
-	is.Equal(broken, nil)
+	is.Equal(guaranteeViolations, nil)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -14,44 +14,45 @@
 	"github.com/shelfcrank/shelfcrank/internal/standin"
 )
 
-// scenario is a load with faults.
+// scenario combines a load with a function that injects faults until it returns
+// or ctx is done. length is the duration of the traffic.
 type scenario struct {
 	name   string
-	scale  func(c deployment.Class) float64
-	faults func(ctx context.Context, b *bench, length time.Duration)
+	scale  func(c deployment.Class) float64 // factor on the request rate of a class
+	faults func(ctx context.Context, b *benchRun, length time.Duration)
 	edits  bool // whether the bench edits the table once a second
 }
 
-// Factors of the load at peak.
+// Factors on the request rates in the scenario "peak".
 const (
-	peakModels   = 2.5
-	peakServices = 2.0
+	peakModelFactor   = 2.5
+	peakServiceFactor = 2.0
 )
 
-func even(deployment.Class) float64 { return 1 }
+func normalLoad(deployment.Class) float64 { return 1 }
 
-func peak(c deployment.Class) float64 {
+func peakLoad(c deployment.Class) float64 {
 	if c.Model != "" {
-		return peakModels
+		return peakModelFactor
 	}
-	return peakServices
+	return peakServiceFactor
 }
 
-func noFaults(ctx context.Context, _ *bench, _ time.Duration) { <-ctx.Done() }
+func noFaults(ctx context.Context, _ *benchRun, _ time.Duration) { <-ctx.Done() }
 
 var scenarios = []scenario{
-	{"steady", even, noFaults, true},
-	{"peak", peak, noFaults, false},
-	{"hall-reclaim", even, hallReclaim, false},
-	{"reclaim-storm", even, reclaimStorm, false},
-	{"entry-kill", even, entryKill, false},
-	{"entry-freeze", even, entryFreeze, false},
-	{"rolling-restart", even, rollingRestart, false},
-	{"store-outage", even, storeOutage, true},
-	{"table-race", even, tableRace, false},
+	{"steady", normalLoad, noFaults, true},
+	{"peak", peakLoad, noFaults, false},
+	{"hall-reclaim", normalLoad, hallReclaim, false},
+	{"reclaim-storm", normalLoad, reclaimStorm, false},
+	{"entry-kill", normalLoad, entryKill, false},
+	{"entry-freeze", normalLoad, entryFreeze, false},
+	{"rolling-restart", normalLoad, rollingRestart, false},
+	{"store-outage", normalLoad, storeOutage, true},
+	{"table-race", normalLoad, tableRace, false},
 }
 
-// ScenarioNames lists the scenarios.
+// ScenarioNames returns the names of the scenarios, separated by commas.
 func ScenarioNames() string {
 	var names []string
 	for _, s := range scenarios {
@@ -70,15 +71,16 @@
 }
 
 const (
-	hallNotice  = 8 * time.Second
-	stormNotice = 5 * time.Second
-	restartWait = 2 * time.Second
-	frozenFor   = 5 * time.Second
-	killPause   = 9 * time.Second // longer than it takes to notice a death and make new second copies
+	hallReclaimNotice  = 8 * time.Second
+	stormReclaimNotice = 5 * time.Second
+	restartWait        = 2 * time.Second
+	freezeDuration     = 5 * time.Second
+	killRestartDelay   = 9 * time.Second // longer than it takes to detect a crash and to make new second copies of records
 )
 
-// pauseFor sleeps and reports whether the experiment still goes on.
-func pauseFor(ctx context.Context, d time.Duration) bool {
+// sleepUnlessDone sleeps for d and returns true, or returns false at once when
+// ctx is done.
+func sleepUnlessDone(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -87,11 +89,11 @@
 	}
 }
 
-// reclaimHall announces the reclaim of a hall with its entry instances and
-// takes those at the deadline.
-func (b *bench) reclaimHall(ctx context.Context, hall string, notice time.Duration) {
+// reclaimHall announces the reclaim of a hall with its entry instances and kills
+// those instances at the deadline.
+func (b *benchRun) reclaimHall(ctx context.Context, hall string, notice time.Duration) {
 	if err := b.procs.Reclaim(ctx, hall, "", notice, true); err != nil {
-		b.fail("reclaim: %v", err)
+		b.addError("reclaim: %v", err)
 	}
 	var taken sync.WaitGroup
 	for i := range b.spec.Entries {
@@ -105,106 +107,114 @@
 	taken.Wait()
 }
 
-func hallReclaim(ctx context.Context, b *bench, length time.Duration) {
-	if pauseFor(ctx, length/3) {
-		b.reclaimHall(ctx, b.spec.Halls[0], hallNotice)
+// hallReclaim reclaims the first hall after a third of the traffic.
+func hallReclaim(ctx context.Context, b *benchRun, length time.Duration) {
+	if sleepUnlessDone(ctx, length/3) {
+		b.reclaimHall(ctx, b.spec.Halls[0], hallReclaimNotice)
 	}
 }
 
-// reclaimStorm takes single engines of all halls, then a whole hall.
-func reclaimStorm(ctx context.Context, b *bench, length time.Duration) {
-	if !pauseFor(ctx, length/5) {
+// reclaimStorm reclaims a quarter of the first model's engines one by one, then a
+// whole hall.
+func reclaimStorm(ctx context.Context, b *benchRun, length time.Duration) {
+	if !sleepUnlessDone(ctx, length/5) {
 		return
 	}
 	for i := range b.spec.Models[0].Engines / 4 {
 		id := fmt.Sprintf("%s-%02d", b.spec.Models[0].Name, 2*i+1)
-		if err := b.procs.Reclaim(ctx, "", id, stormNotice, false); err != nil {
-			b.fail("reclaim: %v", err)
+		if err := b.procs.Reclaim(ctx, "", id, stormReclaimNotice, false); err != nil {
+			b.addError("reclaim: %v", err)
 		}
-		if !pauseFor(ctx, length/20) {
+		if !sleepUnlessDone(ctx, length/20) {
 			return
 		}
 	}
-	if pauseFor(ctx, length/10) {
-		b.reclaimHall(ctx, b.spec.Halls[2], stormNotice)
+	if sleepUnlessDone(ctx, length/10) {
+		b.reclaimHall(ctx, b.spec.Halls[2], stormReclaimNotice)
 	}
 }
 
-// entryKill kills entry instances one at a time without notice and starts them
-// again, and one more in the middle of a hall's reclaim.
-func entryKill(ctx context.Context, b *bench, length time.Duration) {
+// entryKill kills entry instances one at a time and restarts them, then kills one
+// more while another hall is being reclaimed.
+func entryKill(ctx context.Context, b *benchRun, length time.Duration) {
 	begin := time.Now()
 	for i := 0; time.Since(begin) < length/2; i++ {
-		if !pauseFor(ctx, restartWait) {
+		if !sleepUnlessDone(ctx, restartWait) {
 			return
 		}
 		b.procs.KillEntry(i % b.spec.Entries)
-		if !pauseFor(ctx, killPause) {
+		if !sleepUnlessDone(ctx, killRestartDelay) {
 			return
 		}
 		if err := b.procs.StartEntry(i % b.spec.Entries); err != nil {
-			b.fail("restart: %v", err)
+			b.addError("restart: %v", err)
 		}
 	}
 	var reclaim sync.WaitGroup
-	reclaim.Go(func() { b.reclaimHall(ctx, b.spec.Halls[1], hallNotice) })
-	if pauseFor(ctx, hallNotice/4) {
+	reclaim.Go(func() { b.reclaimHall(ctx, b.spec.Halls[1], hallReclaimNotice) })
+	if sleepUnlessDone(ctx, hallReclaimNotice/4) {
 		b.procs.KillEntry(2) // in another hall
 	}
 	reclaim.Wait()
 }
 
-// entryFreeze stops entry instances one at a time for longer than it takes to
-// declare them dead, and lets them go on: each still believes that it owns what
-// others have taken over.
-func entryFreeze(ctx context.Context, b *bench, _ time.Duration) {
-	for i := 0; pauseFor(ctx, restartWait); i++ {
+// entryFreeze suspends entry instances one at a time for longer than it takes to
+// declare them dead, and resumes them. A resumed instance still acts as the owner
+// of records that others have taken over.
+func entryFreeze(ctx context.Context, b *benchRun, _ time.Duration) {
+	for i := 0; sleepUnlessDone(ctx, restartWait); i++ {
 		n := i % b.spec.Entries
 		b.procs.Signal(n, syscall.SIGSTOP)
-		pauseFor(ctx, frozenFor)
+		sleepUnlessDone(ctx, freezeDuration)
 		b.procs.Signal(n, syscall.SIGCONT)
-		if !pauseFor(ctx, restartWait) {
+		if !sleepUnlessDone(ctx, restartWait) {
 			return
 		}
 	}
 }
 
-func rollingRestart(ctx context.Context, b *bench, _ time.Duration) {
+// rollingRestart restarts the entry instances one at a time with planned stops,
+// and waits until all are ready before it goes on to the next.
+func rollingRestart(ctx context.Context, b *benchRun, _ time.Duration) {
 	for i := range b.spec.Entries {
-		if !pauseFor(ctx, restartWait/2) {
+		if !sleepUnlessDone(ctx, restartWait/2) {
 			return
 		}
 		if err := b.procs.StopEntry(i); err != nil {
-			b.fail("planned stop of entry %d: %v", i, err)
+			b.addError("planned stop of entry %d: %v", i, err)
 			b.report.CutByPlannedStop++
 		}
 		if err := b.procs.StartEntry(i); err != nil {
-			b.fail("restart: %v", err)
+			b.addError("restart: %v", err)
 		}
 		for ctx.Err() == nil && b.balancer.Probe(ctx) < b.spec.Entries {
-			pauseFor(ctx, restartWait/20)
+			sleepUnlessDone(ctx, restartWait/20)
 		}
 	}
 }
 
-func storeOutage(ctx context.Context, b *bench, length time.Duration) {
+// storeOutage makes the key-value store fail in four ways, one after the other:
+// down with a frozen endpoint list, slow, losing responses, and serving old data.
+func storeOutage(ctx context.Context, b *benchRun, length time.Duration) {
 	for _, f := range []standin.Faults{{StoreDown: true, ListFrozen: true}, {StoreSlowMs: 700}, {StoreLoseAnswer: 0.5}, {StoreOld: true}} {
-		if !pauseFor(ctx, length/10) {
+		if !sleepUnlessDone(ctx, length/10) {
 			return
 		}
 		if err := b.procs.SetFaults(ctx, f); err != nil {
-			b.fail("faults: %v", err)
+			b.addError("faults: %v", err)
 		}
-		pauseFor(ctx, length/8)
+		sleepUnlessDone(ctx, length/8)
 		if err := b.procs.SetFaults(context.WithoutCancel(ctx), standin.Faults{}); err != nil {
-			b.fail("faults: %v", err)
+			b.addError("faults: %v", err)
 		}
 	}
 }
 
-// directClient returns the client that calls engines without an entry instance.
+// directClient returns the shared client that calls engines directly, without an
+// entry instance in between.
 var directClient = sync.OnceValue(func() *endpoint.Client { return endpoint.New(netx.Transport(netx.TCP{})) })
 
-func generate(prompt string, priority int) *endpoint.Generate {
+// generateRequest returns an engine request for one token.
+func generateRequest(prompt string, priority int) *endpoint.Generate {
 	return &endpoint.Generate{Request: prompt, Session: prompt, Prompt: prompt, MaxTokens: 1, Priority: priority}
 }
--- a/internal/experiment/tablerace.go
+++ b/internal/experiment/tablerace.go
@@ -17,19 +17,20 @@
 	"github.com/shelfcrank/shelfcrank/internal/table"
 )
 
-// EditTally counts how edits ended, checked against the store's own log.
+// EditTally counts the outcomes of edits as answered to the operators, and those
+// that contradict the store's log.
 type EditTally struct {
 	Sent       int `json:"sent"`
 	Accepted   int `json:"accepted"`
 	Conflicted int `json:"conflicted"`
 	Refused    int `json:"refused"`
 	Unresolved int `json:"unresolved"`
-	Wrong      int `json:"wrong"` // said accepted but not in the store's log exactly once, or the other way round
+	Wrong      int `json:"wrong"` // accepted but not in the store's log exactly once, or rejected but in the log
 }
 
-// edit asks the i-th entry instance for an edit and returns the status of the
-// answer.
-func (b *bench) edit(ctx context.Context, i int, e table.Edit) (int, gateway.EditAnswer, error) {
+// postEdit sends an edit to the i-th entry instance and returns the HTTP status
+// and, if it was accepted, the decoded response.
+func (b *benchRun) postEdit(ctx context.Context, i int, e table.Edit) (int, gateway.EditAnswer, error) {
 	var a gateway.EditAnswer
 	body, err := json.Marshal(gateway.NewEditRequest(e))
 	if err != nil {
@@ -53,66 +54,69 @@
 }
 
 const (
-	editEvery   = time.Second
-	inForcePoll = 4 * time.Millisecond
-	inForceMost = 10 * time.Second
+	editInterval        = time.Second
+	inForcePollInterval = 4 * time.Millisecond
+	inForceTimeout      = 10 * time.Second
 )
 
-// probeTable edits a cell once a second and times until each entry instance
-// has the revision in force; it also watches that none goes back.
-func (b *bench) probeTable(ctx context.Context, edits bool) {
+// probeTable checks once a second that no instance has gone back to a lower table
+// revision. With edits set it also edits a cell each time and measures how long
+// it takes until each entry instance has the new revision in force.
+func (b *benchRun) probeTable(ctx context.Context, edits bool) {
 	for n := 0; ctx.Err() == nil; n++ {
-		if !pauseFor(ctx, editEvery) {
+		if !sleepUnlessDone(ctx, editInterval) {
 			return
 		}
-		b.seeRevisions(ctx)
+		b.countReverts(ctx)
 		if !edits {
 			continue
 		}
 		e := table.Edit{ID: fmt.Sprintf("bench-%d-%04d", b.o.Seed, n), Op: table.OpSet, Row: table.DefaultRow, Column: table.ColRetryShare, Value: "0." + strconv.Itoa(1+n%8)}
-		status, a, err := b.edit(ctx, n%b.spec.Entries, e)
+		status, a, err := b.postEdit(ctx, n%b.spec.Entries, e)
 		if err != nil || status != http.StatusOK {
-			continue // refused plainly, as while the store is down
+			continue // rejected, for example while the store is down
 		}
-		b.timeInForce(ctx, a.Accepted.Revision, time.Now())
+		b.recordTimeToInForce(ctx, a.Accepted.Revision, time.Now())
 	}
 }
 
-// timeInForce records for each instance how long after the acceptance it had
-// the revision.
-func (b *bench) timeInForce(ctx context.Context, revision uint64, accepted time.Time) {
+// recordTimeToInForce records for each instance how long after the acceptance of
+// an edit it had the revision in force. A time-out is recorded with the time
+// waited and adds an error.
+func (b *benchRun) recordTimeToInForce(ctx context.Context, revision uint64, accepted time.Time) {
 	var all sync.WaitGroup
 	for i := range b.spec.Entries {
 		all.Go(func() {
-			for ctx.Err() == nil && time.Since(accepted) < inForceMost {
+			for ctx.Err() == nil && time.Since(accepted) < inForceTimeout {
 				s, err := b.procs.Status(ctx, i)
 				if err == nil && s.Revision >= revision {
-					b.record(b.table, time.Since(accepted))
+					b.record(b.timeToInForce, time.Since(accepted))
 					return
 				}
-				pauseFor(ctx, inForcePoll)
+				sleepUnlessDone(ctx, inForcePollInterval)
 			}
 			if ctx.Err() == nil {
-				b.record(b.table, time.Since(accepted))
-				b.fail("revision %d not in force at entry %d", revision, i)
+				b.record(b.timeToInForce, time.Since(accepted))
+				b.addError("revision %d not in force at entry %d", revision, i)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// seeRevisions counts instances that went back to a lower revision.
-func (b *bench) seeRevisions(ctx context.Context) {
+// countReverts reads the revision of each entry instance and counts those that
+// went back to a lower one since the last call.
+func (b *benchRun) countReverts(ctx context.Context) {
 	for i := range b.spec.Entries {
 		s, err := b.procs.Status(ctx, i)
 		if err != nil {
 			continue
 		}
 		b.mu.Lock()
-		if old := b.last[i]; old.instance == s.Instance && s.Revision < old.revision {
+		if old := b.lastRevisions[i]; old.instance == s.Instance && s.Revision < old.revision {
 			b.report.TableReverts++
 		}
-		b.last[i] = revisionSeen{s.Instance, s.Revision}
+		b.lastRevisions[i] = observedRevision{s.Instance, s.Revision}
 		b.mu.Unlock()
 	}
 }
@@ -122,11 +126,11 @@
 	raceEdits     = 2000
 )
 
-// tableRace has 20 operators make 2,000 edits of a few cells at once, while
-// the store loses answers, and checks each outcome against the store's log.
-func tableRace(ctx context.Context, b *bench, _ time.Duration) {
+// tableRace has 20 concurrent operators make 2,000 edits of a few cells, while
+// the store loses responses, and checks each outcome against the store's log.
+func tableRace(ctx context.Context, b *benchRun, _ time.Duration) {
 	if err := b.procs.SetFaults(ctx, standin.Faults{StoreLoseAnswer: 0.05}); err != nil {
-		b.fail("faults: %v", err)
+		b.addError("faults: %v", err)
 	}
 	var mu sync.Mutex
 	tally := &EditTally{}
@@ -136,8 +140,8 @@
 		race.Go(func() {
 			rnd := rand.New(rand.NewPCG(b.o.Seed, uint64(op)))
 			for n := range raceEdits / raceOperators {
-				e := b.raceEdit(rnd, op, n)
-				status, _, err := b.edit(context.WithoutCancel(ctx), rnd.IntN(b.spec.Entries), e)
+				e := b.randomEdit(rnd, op, n)
+				status, _, err := b.postEdit(context.WithoutCancel(ctx), rnd.IntN(b.spec.Entries), e)
 				mu.Lock()
 				tally.Sent++
 				if err != nil {
@@ -149,13 +153,14 @@
 		})
 	}
 	race.Wait()
-	b.checkRace(context.WithoutCancel(ctx), tally, outcome)
+	b.checkRaceOutcomes(context.WithoutCancel(ctx), tally, outcome)
 	b.report.Edits = tally
 }
 
-// raceEdit draws an edit of one of a few cells; half of them name the value
-// that the operator saw some time ago.
-func (b *bench) raceEdit(rnd *rand.Rand, op, n int) table.Edit {
+// randomEdit returns a random edit of one of a few cells. Half of the edits expect
+// a random old value, as an operator with outdated data does, and one in 20 has a
+// value out of range.
+func (b *benchRun) randomEdit(rnd *rand.Rand, op, n int) table.Edit {
 	classes := b.spec.Classes
 	e := table.Edit{
 		ID: fmt.Sprintf("race-%d-%02d-%04d", b.o.Seed, op, n), Op: table.OpSet, Row: classes[rnd.IntN(len(classes))].Name,
@@ -165,19 +170,20 @@
 		e.HasWas, e.Was = true, fmt.Sprintf("0.%d", 1+rnd.IntN(9))
 	}
 	if rnd.IntN(20) == 0 {
-		e.Value = "7" // outside the range
+		e.Value = "7" // out of range
 	}
 	return e
 }
 
-// checkRace counts the outcomes and compares them with what the store wrote.
-func (b *bench) checkRace(ctx context.Context, t *EditTally, outcome map[string]int) {
+// checkRaceOutcomes counts the outcomes, given as HTTP status by edit ID, and
+// compares them with the writes in the store's log.
+func (b *benchRun) checkRaceOutcomes(ctx context.Context, t *EditTally, outcome map[string]int) {
 	var log []standin.Write
-	if err := b.procs.platform(ctx, http.MethodGet, "/store-log", nil, &log); err != nil {
-		b.fail("store log: %v", err)
+	if err := b.procs.callPlatform(ctx, http.MethodGet, "/store-log", nil, &log); err != nil {
+		b.addError("store log: %v", err)
 		return
 	}
-	took := make(map[string]map[uint64]bool) // revisions of the table by edit
+	took := make(map[string]map[uint64]bool) // table revisions that hold an edit as their latest one, by edit ID
 	for _, w := range log {
 		if w.Key != platform.KeyTable {
 			continue
--- a/internal/experiment/views_test.go
+++ b/internal/experiment/views_test.go
@@ -9,31 +9,33 @@
 	"github.com/shelfcrank/shelfcrank/internal/relay"
 )
 
-// cutOff parts an instance from all others, or joins it to them again.
-func (c *chaos) cutOff(entry int, cut bool) {
+// isolate cuts the network between an entry instance and all others, or restores
+// it if cut is false.
+func (c *chaos) isolate(entry int, cut bool) {
 	for i := range c.spec.Entries {
 		if i != entry {
-			c.mem.Cut(c.spec.Entry(chaosBase, entry).Name, c.spec.Entry(chaosBase, i).Name, cut)
+			c.mem.Cut(c.spec.Entry(chaosBasePort, entry).Name, c.spec.Entry(chaosBasePort, i).Name, cut)
 		}
 	}
 }
 
-// An instance that reaches the platform but no other instance does not write the first
-// view: the others could never agree on one without it, since it might have claims.
+// An instance that reaches the platform but no other instance must not write the
+// first view. If it did, the others could never agree on a view without it, since
+// it might hold claims.
 func TestAnInstanceThatReachesNobodyWritesNoFirstView(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtual(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newChaos(t, "voltra", 1, relay.Switches{})
-		defer c.e.Stop()
-		c.cutOff(0, true)
-		time.Sleep(readyWait)
+		defer c.embedded.Stop()
+		c.isolate(0, true)
+		time.Sleep(readyTimeout)
 		for i := 1; i < c.spec.Entries; i++ {
-			v := c.e.Entry(i).Snapshot().View
-			is.True(v != nil)                           // the others agree on a view
-			is.Equal(len(v.Members), c.spec.Entries-1)  // which has all of them
-			is.True(c.e.Entry(i).Relay().KeeperReady()) // and they know their claims
+			v := c.embedded.Entry(i).Snapshot().View
+			is.True(v != nil)                                  // the other instances agree on a view
+			is.Equal(len(v.Members), c.spec.Entries-1)         // all of them are members
+			is.True(c.embedded.Entry(i).Relay().KeeperReady()) // and their claims are loaded
 		}
-		c.cutOff(0, false)
-		is.NoErr(c.e.WaitView())
+		c.isolate(0, false)
+		is.NoErr(c.embedded.WaitView())
 	})
 }
