--- a/internal/cmd/docs_test.go
+++ b/internal/cmd/docs_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestGeneratedPagesAreFresh(t *testing.T) {
+func TestGeneratedPagesAreCurrent(t *testing.T) {
 	for name, want := range generatedDocs() {
 		got, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
 		if err != nil {
--- a/internal/front/ratelimit_test.go
+++ b/internal/front/ratelimit_test.go
@@ -32,7 +32,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.named[endpoint] = strconv.FormatFloat(rate, 'f', -1, 64)
-	l.checker.Named(endpoint, rate, time.Now())
+	l.checker.Announced(endpoint, rate, time.Now())
 }
 
 // lift makes an endpoint stop announcing a limit.
@@ -40,14 +40,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.named, endpoint)
-	l.checker.Lifted(endpoint, time.Now())
+	l.checker.Removed(endpoint, time.Now())
 }
 
 // arrives records that a request reached an endpoint.
 func (l *rateLimits) arrives(endpoint, id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.checker.Arrived(endpoint, pairOf(endpoint, id).instance, now)
+	l.checker.Received(endpoint, pairOf(endpoint, id).instance, now)
 }
 
 // answers adds the limit to the headers of an answer.
@@ -56,7 +56,7 @@
 	defer l.mu.Unlock()
 	if text, limited := l.named[endpoint]; limited {
 		h.Set("Limit", text)
-		l.checker.Passed(endpoint, pairOf(endpoint, id).instance, now)
+		l.checker.Forwarded(endpoint, pairOf(endpoint, id).instance, now)
 	}
 }
 
@@ -65,7 +65,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range instances {
-		l.checker.Excuse(name, time.Now(), time.Now().Add(d))
+		l.checker.Exempt(name, time.Now(), time.Now().Add(d))
 	}
 }
 
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -24,8 +24,8 @@
 func checkBounds() check.Bounds {
 	return check.Bounds{
 		Contact: 3 * time.Second, Drain: bounds.Drain(), Revoke: bounds.Revoke(), Config: bounds.Config(),
-		RollbackOver: 250 * time.Millisecond, Grace: bounds.Grace(), Recover: 12 * time.Second, RetryRatio: bounds.RetryRatio,
-		RetrySlack: bounds.RetrySlack, RetryWindow: bounds.RetryWindow(), QuotaOver: bounds.QuotaOver, QuotaWindow: bounds.QuotaWindow(),
+		RollbackTolerance: 250 * time.Millisecond, Grace: bounds.Grace(), Recover: 12 * time.Second, RetryRatio: bounds.RetryRatio,
+		RetrySlack: bounds.RetrySlack, RetryWindow: bounds.RetryWindow(), QuotaTolerance: bounds.QuotaOver, QuotaWindow: bounds.QuotaWindow(),
 	}
 }
 
@@ -227,7 +227,7 @@
 	}
 	for _, p := range o.probes {
 		if p.route.Name == a.Route {
-			a.Since, a.Until = p.since, p.until
+			a.RouteAddedIn, a.RouteRemovedIn = p.since, p.until
 		}
 	}
 }
--- a/internal/standin/ratelimit.go
+++ b/internal/standin/ratelimit.go
@@ -30,7 +30,7 @@
 func (l *rateLimits) setHeader(id string, h http.Header, now time.Time) {
 	if rate, limited := l.advertised[id]; limited {
 		h.Set(endpoint.RateLimitHeader, strconv.FormatFloat(rate, 'f', -1, 64))
-		l.checker.Passed(id, anyInstance, now)
+		l.checker.Forwarded(id, anyInstance, now)
 	}
 }
 
@@ -39,7 +39,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rateLimits.advertised[id] = rate
-	w.rateLimits.checker.Named(id, rate, time.Now())
+	w.rateLimits.checker.Announced(id, rate, time.Now())
 }
 
 // ClearRateLimit makes an endpoint stop advertising a rate limit.
@@ -47,7 +47,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.rateLimits.advertised, id)
-	w.rateLimits.checker.Lifted(id, time.Now())
+	w.rateLimits.checker.Removed(id, time.Now())
 }
 
 // RateLimitViolations returns the violations of advertised rate limits.
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -381,7 +381,7 @@
 // long after the instance began to leave.
 func (w *World) recordArrival(id string) {
 	w.mu.Lock()
-	w.rateLimits.checker.Arrived(id, anyInstance, time.Now())
+	w.rateLimits.checker.Received(id, anyInstance, time.Now())
 	w.mu.Unlock()
 	if w.leavingFor(id) <= leavingGrace {
 		return
--- a/internal/vocabulary/vocabulary_test.go
+++ b/internal/vocabulary/vocabulary_test.go
@@ -11,7 +11,7 @@
 	analysistest.Run(t, analysistest.TestData(), Analyzer, "names")
 }
 
-func TestPlainRevisionsAreReported(t *testing.T) {
+func TestInt64RevisionsAreReported(t *testing.T) {
 	analysistest.Run(t, analysistest.TestData(), Revisions, "numbers")
 }
 
@@ -24,11 +24,11 @@
 	}
 }
 
-func TestAllowedNamesAreRead(t *testing.T) {
+func TestParseAllowed(t *testing.T) {
 	is := is.New(t)
 	allowed, err := parseAllowed("# comment\ninternal/a told 2\n")
 	is.NoErr(err)
-	is.Equal(allowed, map[use]int{{"internal/a", "told"}: 2})
+	is.Equal(allowed, map[packageWord]int{{"internal/a", "told"}: 2})
 	_, err = parseAllowed("internal/a told\n")
 	is.True(err != nil)
 	_, err = parseAllowed("internal/a told two\n")
