--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -54,8 +54,8 @@
 func (c *caller) sendWithRetry(ctx context.Context, q *request) {
 	deadline := time.Now().Add(q.route.Timeout)
 	a, wait := c.attempt(ctx, q, time.Until(deadline))
-	final := a.Status >= 200 && a.Status < 500 && !check.Promises(a.Status)
-	if final || !a.LeftAt.IsZero() || !q.route.Idempotent() && !check.Promises(a.Status) {
+	final := a.Status >= 200 && a.Status < 500 && !check.GuaranteesNotRun(a.Status)
+	if final || !a.AbandonedAt.IsZero() || !q.route.Idempotent() && !check.GuaranteesNotRun(a.Status) {
 		return
 	}
 	left := time.Until(deadline)
@@ -103,7 +103,7 @@
 	if err := c.connect(); err != nil {
 		return a, 0 // nothing was sent
 	}
-	a.Instance, a.Incarnation, a.Pieces = c.instance.name, c.incarnation, eventCount(a.ID)
+	a.Instance, a.Incarnation, a.EventCount = c.instance.name, c.incarnation, eventCount(a.ID)
 	a.SentAt = time.Now()
 	c.traffic.setSender(a.ID, a.Instance)
 	end := a.SentAt.Add(left)
@@ -117,7 +117,7 @@
 	a.EndedAt = time.Now()
 	if err != nil {
 		if q.cancelAfter > 0 && !a.EndedAt.Before(end) {
-			a.LeftAt = a.EndedAt
+			a.AbandonedAt = a.EndedAt
 		}
 		c.close()
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return 0, err
 	}
-	platformtest.SetRequest(req.Header, platformtest.Outgoing{ID: a.ID, Key: q.key.name, Deadline: a.Deadline})
+	platformtest.SetRequest(req.Header, platformtest.ClientRequest{ID: a.ID, Key: q.key.name, Deadline: a.Deadline})
 	if err := req.Write(c.conn); err != nil {
 		return 0, err
 	}
@@ -154,8 +154,8 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	head := platformtest.ReadAnswer(resp.Header)
-	a.Status, a.Sealed, a.AnswerID = resp.StatusCode, head.Sealed, head.RequestID
+	head := platformtest.ReadResponse(resp.Header)
+	a.Status, a.Sealed, a.ResponseID = resp.StatusCode, head.Sealed, head.RequestID
 	if resp.Close {
 		defer c.close()
 	}
@@ -164,9 +164,9 @@
 	} else {
 		var body []byte
 		body, err = io.ReadAll(resp.Body)
-		a.AnswerSum = xxhash.Sum64(body)
+		a.ResponseSum = xxhash.Sum64(body)
 	}
-	a.Whole = err == nil
+	a.Complete = err == nil
 	return head.RetryAfter, err
 }
 
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -134,7 +134,7 @@
 		return // truncated request: not run and not recorded
 	}
 	if in.Expect != e.id {
-		platformtest.SetHead(w.Header(), platformtest.Head{RequestID: in.ID, Instance: e.id})
+		platformtest.SetResponse(w.Header(), platformtest.EndpointResponse{RequestID: in.ID, Instance: e.id})
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -155,23 +155,23 @@
 }
 
 // refuse answers 503 and marks the request as not run.
-func (e *endpoint) refuse(w http.ResponseWriter, in platformtest.Incoming, b behavior) {
-	e.setHead(w.Header(), in, b, platformtest.Head{RequestID: in.ID, NotRun: true, RestFor: b.backoff})
+func (e *endpoint) refuse(w http.ResponseWriter, in platformtest.EndpointRequest, b behavior) {
+	e.setHead(w.Header(), in, b, platformtest.EndpointResponse{RequestID: in.ID, NotExecuted: true, RetryAfter: b.backoff})
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // setHead sets the response headers, including the state that the endpoint announces (leaving, rate
 // limit, backoff), and records that announcement for the checker.
-func (e *endpoint) setHead(h http.Header, in platformtest.Incoming, b behavior, head platformtest.Head) {
+func (e *endpoint) setHead(h http.Header, in platformtest.EndpointRequest, b behavior, head platformtest.EndpointResponse) {
 	head.Leaving, head.RateLimit = b.leaving, b.rateLimit
 	head.Load = [3]int{0, 0, slots}
-	platformtest.SetHead(h, head)
+	platformtest.SetResponse(h, head)
 	now := time.Now()
-	s := check.Statement{Endpoint: e.id, Instance: e.sender(in.ID), At: now, Leaving: b.leaving, RateLimit: b.rateLimit != ""}
-	if head.RestFor > 0 {
-		s.RestUntil = now.Add(head.RestFor)
+	s := check.Announcement{Endpoint: e.id, Instance: e.sender(in.ID), At: now, Leaving: b.leaving, RateLimit: b.rateLimit != ""}
+	if head.RetryAfter > 0 {
+		s.PauseUntil = now.Add(head.RetryAfter)
 	}
-	if s.Leaving || s.RateLimit || !s.RestUntil.IsZero() {
+	if s.Leaving || s.RateLimit || !s.PauseUntil.IsZero() {
 		e.record.statement(s)
 	}
 }
@@ -180,7 +180,7 @@
 type call struct {
 	endpoint *endpoint
 	arrival  int // index for recorder.updateArrival
-	in       platformtest.Incoming
+	in       platformtest.EndpointRequest
 	w        http.ResponseWriter
 	behavior behavior
 	ctx      context.Context
@@ -193,14 +193,14 @@
 func (c *call) run(deadly bool) {
 	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Ran = true })
 	if deadly {
-		c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Crashed, a.Broke, a.EndedAt = true, true, time.Now() })
+		c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Crashed, a.Aborted, a.EndedAt = true, true, time.Now() })
 		go c.endpoint.onCrash(c.endpoint)
 		panic(http.ErrAbortHandler)
 	}
 	status, sum, err := c.answer()
 	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) {
-		a.EndedAt, a.Status, a.AnswerSum = time.Now(), status, sum
-		a.Broke = err != nil && (c.endpoint.stopped.Load() || c.ctx.Err() == nil)
+		a.EndedAt, a.Status, a.ResponseSum = time.Now(), status, sum
+		a.Aborted = err != nil && (c.endpoint.stopped.Load() || c.ctx.Err() == nil)
 	})
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -249,11 +249,11 @@
 // recordAnswer records the response before any of it is sent, so that the checker knows of each
 // response that a caller may see.
 func (c *call) recordAnswer(status int, sum uint64) {
-	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Status, a.AnswerSum = status, sum })
+	c.endpoint.record.updateArrival(c.arrival, func(a *check.Arrival) { a.Status, a.ResponseSum = status, sum })
 }
 
 func (c *call) setHead() {
-	c.endpoint.setHead(c.w.Header(), c.in, c.behavior, platformtest.Head{RequestID: c.in.ID, Seal: c.endpoint.id})
+	c.endpoint.setHead(c.w.Header(), c.in, c.behavior, platformtest.EndpointResponse{RequestID: c.in.ID, Seal: c.endpoint.id})
 }
 
 // stream writes server-sent events, starting after the Last-Event-Id of the request.
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -33,10 +33,10 @@
 	f(&r.history.Arrivals[arrival])
 }
 
-func (r *recorder) statement(s check.Statement) {
+func (r *recorder) statement(s check.Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Statements = append(r.history.Statements, s)
+	r.history.Announcements = append(r.history.Announcements, s)
 }
 
 func (r *recorder) rateChange(c check.RateChange) {
@@ -89,13 +89,13 @@
 func (r *recorder) beginLinkFault(endpoint string) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := len(r.history.HeldUp)
+	n := len(r.history.LinkFaults)
 	now := time.Now()
-	r.history.HeldUp = append(r.history.HeldUp, check.HeldUp{Endpoint: endpoint, From: now, To: now.Add(time.Hour)})
+	r.history.LinkFaults = append(r.history.LinkFaults, check.LinkFault{Endpoint: endpoint, From: now, To: now.Add(time.Hour)})
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.history.HeldUp[n].To = time.Now()
+		r.history.LinkFaults[n].To = time.Now()
 	}
 }
 
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -140,9 +140,9 @@
 	}
 	s := &t.seconds[n]
 	switch {
-	case a.Status >= 200 && a.Status < 300 && a.Whole:
+	case a.Status >= 200 && a.Status < 300 && a.Complete:
 		s.Served++
-	case check.Promises(a.Status):
+	case check.GuaranteesNotRun(a.Status):
 		s.Refused++
 	default:
 		s.Failed++
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -137,7 +137,7 @@
 
 // putEntry registers an endpoint in the store, or updates its registration.
 func (w *world) putEntry(e *endpoint) error {
-	key, value, err := platformtest.ServerEntry(e.storeEntry())
+	key, value, err := platformtest.EndpointEntry(e.storeEntry())
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 
 // entryKey returns the store key of an endpoint's registration, "" if it can't be encoded.
 func (w *world) entryKey(e *endpoint) string {
-	key, _, err := platformtest.ServerEntry(e.storeEntry())
+	key, _, err := platformtest.EndpointEntry(e.storeEntry())
 	if err != nil {
 		return ""
 	}
--- a/internal/traffic/load.go
+++ b/internal/traffic/load.go
@@ -142,11 +142,11 @@
 // converse makes the calls of one conversation. Each prompt starts with all previous prompts and
 // answers. It ends early when an answer is incomplete.
 func (l *Load) converse(ctx context.Context, class deployment.Class, t deployment.Traffic, key, id string, rnd *rand.Rand, until time.Time) {
-	prompt := words(rand.New(rand.NewPCG(7, uint64(len(class.Name)))), t.System)
+	prompt := words(rand.New(rand.NewPCG(7, uint64(len(class.Name)))), t.SystemTokens)
 	for turn := range max(1, t.Turns) {
-		size := max(8, int(float64(t.Prompt)*(0.5+rnd.Float64())))
+		size := max(8, int(float64(t.PromptTokens)*(0.5+rnd.Float64())))
 		prompt += words(rnd, size)
-		c := Call{Class: class.Name, Key: key, Model: class.Name, User: id, Prompt: prompt, MaxTokens: max(4, int(float64(t.Answer)*(0.5+rnd.Float64()))), Deadline: l.deadline(class)}
+		c := Call{Class: class.Name, Key: key, Model: class.Name, User: id, Prompt: prompt, MaxTokens: max(4, int(float64(t.AnswerTokens)*(0.5+rnd.Float64()))), Deadline: l.deadline(class)}
 		if rnd.IntN(2) == 0 {
 			c.IdempotencyKey = fmt.Sprintf("%s/%d", id, turn)
 		}
