--- a/internal/check/endpoints.go
+++ b/internal/check/endpoints.go
@@ -59,19 +59,19 @@
 // no requests until the end of the pause.
 func checkBudgetRest(x *index) (out []Violation) {
 	for _, s := range x.Announcements {
-		if s.PauseUntil.IsZero() {
+		if s.BackoffUntil.IsZero() {
 			continue
 		}
 		n := 0
 		for _, r := range x.ordered {
-			if r.Endpoint != s.Endpoint || !r.At.After(s.At.Add(pauseNotice)) || !r.At.Before(s.PauseUntil) {
+			if r.Endpoint != s.Endpoint || !r.At.After(s.At.Add(pauseNotice)) || !r.At.Before(s.BackoffUntil) {
 				continue
 			}
 			if sender := x.sender(r.Request); sender != s.Instance || x.disrupted(sender, s.At, r.At) || x.maybeDelayed(r) {
 				continue
 			}
 			if n++; n > pauseAllowance {
-				out = append(out, Violation{"BUDGET rest", r.At, fmt.Sprintf("%s received request number %d from %s during the pause that it asked for, until %s", s.Endpoint, n, s.Instance, s.PauseUntil.Format("15:04:05.000"))})
+				out = append(out, Violation{"BUDGET rest", r.At, fmt.Sprintf("%s received request number %d from %s during the pause that it asked for, until %s", s.Endpoint, n, s.Instance, s.BackoffUntil.Format("15:04:05.000"))})
 				break
 			}
 		}
--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -76,12 +76,12 @@
 
 // Announcement is what an endpoint announced about itself in a response to an instance.
 type Announcement struct {
-	Endpoint   string
-	Instance   string
-	At         time.Time
-	Leaving    bool
-	PauseUntil time.Time // end of the pause that it asks the instance for; zero if it asks for none
-	RateLimit  bool      // the response contains the rate limit in force
+	Endpoint     string
+	Instance     string
+	At           time.Time
+	Leaving      bool
+	BackoffUntil time.Time // end of the pause that it asks the instance for; zero if it asks for none
+	RateLimit    bool      // the response contains the rate limit in force
 }
 
 // RateChange is a change of the rate limit that an endpoint announces.
--- a/internal/check/rules_test.go
+++ b/internal/check/rules_test.go
@@ -196,7 +196,7 @@
 
 // addDuringPause records n requests during a pause, and some just before and after it.
 func (h *History) addDuringPause(n int) {
-	h.Announcements = []Announcement{{Endpoint: "e", Instance: "n", At: at(0), PauseUntil: at(3000)}}
+	h.Announcements = []Announcement{{Endpoint: "e", Instance: "n", At: at(0), BackoffUntil: at(3000)}}
 	h.addMany("before", 3, 400, nil)
 	h.addMany("x", n, 600, nil)
 	h.addMany("after", 3, 3000, nil)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -27,7 +27,7 @@
 // Token identifies the leader to the receiver of an order, which rejects orders with a lower fence
 // than it has seen.
 type Token struct {
-	Holder string
+	Leader string
 	Fence  store.Revision
 }
 
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -64,7 +64,7 @@
 	b.Probe(context.Background())
 	o := traffic.NewClient(transport, b).Do(context.Background(), traffic.Call{Key: "voltra-north-key", IdempotencyKey: "one", Path: "cabinet/unlock", Body: "b", Deadline: time.Now().Add(5 * time.Second)})
 	if !o.Complete {
-		t.Errorf("unlock: %v (replicas ready: %v %v %v)", o.Err, e.Entry(0).Relay().KeeperReady(), e.Entry(1).Relay().KeeperReady(), e.Entry(2).Relay().KeeperReady())
+		t.Errorf("unlock: %v (replicas ready: %v %v %v)", o.Err, e.Entry(0).Relay().ReplicaReady(), e.Entry(1).Relay().ReplicaReady(), e.Entry(2).Relay().ReplicaReady())
 	}
 	transport.CloseIdleConnections()
 	e.Stop()
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -59,7 +59,7 @@
 		if !i.viewReplaceable(s) {
 			continue
 		}
-		if !i.relay.KeeperReady() && now.Sub(since) < 2*viewSettleTime+delay {
+		if !i.relay.ReplicaReady() && now.Sub(since) < 2*viewSettleTime+delay {
 			continue // the claims of the last view are not collected yet: let that end first, but only for a while
 		}
 		i.writeView(ctx, s.View.Next(next))
--- a/internal/experiment/embedded.go
+++ b/internal/experiment/embedded.go
@@ -210,7 +210,7 @@
 	defer e.mu.Unlock()
 	for _, ee := range e.entries {
 		v := ee.instance.Snapshot().View
-		if v == nil || len(v.Members) < len(e.entries) || !ee.instance.Relay().KeeperReady() {
+		if v == nil || len(v.Members) < len(e.entries) || !ee.instance.Relay().ReplicaReady() {
 			return false
 		}
 	}
--- a/internal/experiment/views_test.go
+++ b/internal/experiment/views_test.go
@@ -31,9 +31,9 @@
 		time.Sleep(readyTimeout)
 		for i := 1; i < c.spec.Entries; i++ {
 			v := c.embedded.Entry(i).Snapshot().View
-			is.True(v != nil)                                  // the other instances agree on a view
-			is.Equal(len(v.Members), c.spec.Entries-1)         // all of them are members
-			is.True(c.embedded.Entry(i).Relay().KeeperReady()) // and their claims are loaded
+			is.True(v != nil)                                   // the other instances agree on a view
+			is.Equal(len(v.Members), c.spec.Entries-1)          // all of them are members
+			is.True(c.embedded.Entry(i).Relay().ReplicaReady()) // and their claims are loaded
 		}
 		c.isolate(0, false)
 		is.NoErr(c.embedded.WaitView())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -154,8 +154,8 @@
 	return r.replica.Len()
 }
 
-// KeeperReady reports whether this instance, as a replica, knows the claims of all its shards.
-func (r *Relay) KeeperReady() bool {
+// ReplicaReady reports whether this instance, as a replica, knows the claims of all its shards.
+func (r *Relay) ReplicaReady() bool {
 	r.replicaMu.Lock()
 	defer r.replicaMu.Unlock()
 	return r.replica.Ready()
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -169,9 +169,9 @@
 	now := time.Now()
 	s := check.Announcement{Endpoint: e.id, Instance: e.sender(in.ID), At: now, Leaving: b.leaving, RateLimit: b.rateLimit != ""}
 	if head.RetryAfter > 0 {
-		s.PauseUntil = now.Add(head.RetryAfter)
+		s.BackoffUntil = now.Add(head.RetryAfter)
 	}
-	if s.Leaving || s.RateLimit || !s.PauseUntil.IsZero() {
+	if s.Leaving || s.RateLimit || !s.BackoffUntil.IsZero() {
 		e.record.statement(s)
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -59,7 +59,7 @@
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		text = append(text, fmt.Sprintf("%s=%d", name, counts[name]))
 	}
-	c.record.dutyCall(check.DutyCall{At: time.Now(), Holder: d.Holder, Fence: d.Fence, Window: window, Counts: strings.Join(text, ",")})
+	c.record.dutyCall(check.DutyCall{At: time.Now(), Holder: d.Leader, Fence: d.Fence, Window: window, Counts: strings.Join(text, ",")})
 	return nil
 }
 
